--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 BIN := $(VENV)/bin
 SOURCES := monsoonpier standins bench tests
 
-.PHONY: demo test format bench capacity mutations plots soak binary clean
+.PHONY: demo test format tools bench capacity mutations plots soak binary clean
 
 $(VENV)/.ready: requirements.lock
 	$(PYTHON) -m venv $(VENV)
@@ -23,6 +23,13 @@
 	$(BIN)/ruff format $(SOURCES)
 	$(BIN)/ruff check --fix $(SOURCES)
 
+# rope and mypy, for renames across modules; `make test` does without them.
+tools: $(VENV)/.tools-ready
+
+$(VENV)/.tools-ready: requirements-tools.lock $(VENV)/.ready
+	$(BIN)/pip install --quiet --disable-pip-version-check -r requirements-tools.lock
+	touch $@
+
 bench: $(VENV)/.ready
 	@$(BIN)/python -m bench
 
