--- a/monsoonpier/agent/tokens/condition.py
+++ b/monsoonpier/agent/tokens/condition.py
@@ -14,7 +14,7 @@
 from monsoonpier.charts import load_chart
 from monsoonpier.model.target import Condition
 
-__all__ = ["TargetState"]
+__all__ = ["TargetLifecycle"]
 
 SILENT_RUNS = 3  # consecutive runs without an answer make a target unresponsive
 TRY_AGAIN_SECONDS = 2.0  # before the first probe; doubles with each failed probe
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TargetState:
+class TargetLifecycle:
     """The target's state, its failure counts, and when the state expires.
 
     ``until`` and ``serving_since`` are monotonic times in seconds.
@@ -101,7 +101,7 @@
 
     def after_run(
         self, result: RunResult, *, had_enough_time: bool, now: float
-    ) -> "TargetState":
+    ) -> "TargetLifecycle":
         """Return the state after a run ended with this result.
 
         A timeout counts against the target only if ``had_enough_time``.
@@ -120,27 +120,27 @@
             case Aborted():
                 return self
 
-    def answered(self, *, now: float) -> "TargetState":
+    def answered(self, *, now: float) -> "TargetLifecycle":
         """Return the state after a run was answered; resets the failure counts."""
         after = self._step("answered", now=now)
         return replace(after, silent_runs=0, failed_probes=0)
 
-    def healthy(self, *, now: float) -> "TargetState":
+    def healthy(self, *, now: float) -> "TargetLifecycle":
         """Return the state after a health check passed.
 
         A health check doesn't end the unresponsive state.
         """
         return self._step("healthy", now=now)
 
-    def refused(self, *, now: float) -> "TargetState":
+    def refused(self, *, now: float) -> "TargetLifecycle":
         """Return the state after a connection was refused."""
         return self._step("refused", now=now)
 
-    def shed(self, *, retry_after: float, now: float) -> "TargetState":
+    def shed(self, *, retry_after: float, now: float) -> "TargetLifecycle":
         """Return the state after a 503; ``retry_after`` is in seconds."""
         return replace(self._step("shed", now=now), until=now + retry_after)
 
-    def unanswered(self, *, now: float) -> "TargetState":
+    def unanswered(self, *, now: float) -> "TargetLifecycle":
         """Return the state after a run ended without an answer."""
         after = replace(self, silent_runs=self.silent_runs + 1)
         if after.silent_runs < SILENT_RUNS and not self.one_at_a_time:
@@ -152,30 +152,30 @@
             failed_probes=min(after.failed_probes + 1, MAX_FAILED_PROBES),
         )
 
-    def with_evacuation(self, is_evacuated: bool) -> "TargetState":
+    def with_evacuation(self, is_evacuated: bool) -> "TargetLifecycle":
         """Return the state with an evacuation order in force, or revoked."""
         return replace(self, is_evacuated=is_evacuated)
 
-    def leave(self, *, now: float) -> "TargetState":
-        """Return the state after the order to leave."""
+    def leave(self, *, now: float) -> "TargetLifecycle":
+        """Return the state after draining started."""
         return self._step("leave", now=now)
 
-    def stay(self, *, now: float) -> "TargetState":
-        """Return the state after the order to leave was revoked."""
+    def stay(self, *, now: float) -> "TargetLifecycle":
+        """Return the state after draining was revoked."""
         return self._step("stay", now=now)
 
-    def finished(self, *, now: float) -> "TargetState":
-        """Return the state after a leaving target finished its last work."""
+    def finished(self, *, now: float) -> "TargetLifecycle":
+        """Return the state after a draining target finished its last work."""
         return self._step("finished", now=now)
 
-    def advance(self, *, now: float) -> "TargetState":
+    def advance(self, *, now: float) -> "TargetLifecycle":
         """Return the state at ``now``, after shedding and unresponsive expire."""
         if now < self.until:
             return self
         advanced = self._step("shed_over", now=now)._step("try_again", now=now)
         return replace(advanced, until=NEVER)
 
-    def _step(self, event: str, *, now: float) -> "TargetState":
+    def _step(self, event: str, *, now: float) -> "TargetLifecycle":
         state = load_chart("target").step(self.state, event)
         if state == self.state:
             return self
--- a/monsoonpier/agent/tokens/holder.py
+++ b/monsoonpier/agent/tokens/holder.py
@@ -12,7 +12,7 @@
     Return,
     RunResult,
 )
-from monsoonpier.agent.tokens.condition import TargetState
+from monsoonpier.agent.tokens.condition import TargetLifecycle
 from monsoonpier.agent.tokens.flows import Flow
 from monsoonpier.agent.tokens.requests import RequestManager
 from monsoonpier.agent.tokens.streams import StreamManager
@@ -44,7 +44,7 @@
 IDLE_FLOW_SECONDS = 60.0
 MIN_EXPIRY_SECONDS = 1.0
 MOVE_EVERY_SECONDS = 0.5
-LINGER_SECONDS = 5.0  # how long a leaving agent waits for silent callers
+LINGER_SECONDS = 5.0  # how long a draining agent waits for silent callers
 RETURN_RETRY_MS = 1_000
 
 
@@ -72,9 +72,9 @@
         self._streams = StreamManager()
         self._report_number = 0
         self._open_count = 0
-        self._leave_deadline: float | None = None
-        self._next_move_at = 0.0
-        self.life = TargetState()
+        self._drain_deadline: float | None = None
+        self._next_go_away_at = 0.0
+        self.life = TargetLifecycle()
         self.service: Service | None = None
         self.dropped_by_reason: Counter[str] = Counter()
         self.rejected_opens = 0
@@ -110,12 +110,12 @@
         )
 
     def is_finished(self, *, now: float) -> bool:
-        """Return whether a leaving agent has no work left."""
-        if self._leave_deadline is None or self._requests.in_flight:
+        """Return whether a draining agent has no work left."""
+        if self._drain_deadline is None or self._requests.in_flight:
             return False
         if any(flow.is_busy for flow in self._flows_by_id.values()):
             return False
-        return not self._flows_by_id or now >= self._leave_deadline
+        return not self._flows_by_id or now >= self._drain_deadline
 
     # Packets from callers
 
@@ -145,8 +145,8 @@
 
     @property
     def _idle_seconds(self) -> float:
-        """The idle timeout of flows, shorter while the agent is leaving."""
-        return IDLE_FLOW_SECONDS if self._leave_deadline is None else LINGER_SECONDS
+        """The idle timeout of flows in seconds, shorter while draining."""
+        return IDLE_FLOW_SECONDS if self._drain_deadline is None else LINGER_SECONDS
 
     def _handle_open(
         self, frame: Forward, message: Open, *, via: tuple[str, int], now: float
@@ -206,7 +206,7 @@
                     flow,
                     message,
                     service=self.service,
-                    target_state=self.life,
+                    lifecycle=self.life,
                     now=now,
                     draw=draw,
                 )
@@ -300,23 +300,23 @@
         self._set_resend_timer(flow, key.request)
         return actions + self._replies(flow, replies)
 
-    # Leaving and timers
+    # Draining and timers
 
     def leave(self, *, now: float) -> list[Action]:
-        """Start leaving: reject new work and ask callers to move their flows."""
-        if self._leave_deadline is not None:
+        """Start draining: reject new work and ask callers to move their flows."""
+        if self._drain_deadline is not None:
             return []
         self.life = self.life.leave(now=now)
-        self._leave_deadline = now + LINGER_SECONDS
+        self._drain_deadline = now + LINGER_SECONDS
         for flow in self._flows_by_id.values():
-            flow.expires = min(flow.expires, self._leave_deadline)
+            flow.expires = min(flow.expires, self._drain_deadline)
             self._set_timer(flow.expires, flow.id, 0)
-        return self._send_moves(now=now)
+        return self._send_go_away(now=now)
 
     def stay(self, *, now: float) -> None:
-        """Revoke the order to leave."""
-        if self._leave_deadline is not None:
-            self._leave_deadline = None
+        """Stop draining."""
+        if self._drain_deadline is not None:
+            self._drain_deadline = None
             self.life = self.life.stay(now=now)
 
     def tick(self, *, now: float, draw: random.Random) -> list[Action]:
@@ -328,8 +328,8 @@
             flow = self._flows_by_id.get(flow_id)
             if flow is not None:
                 actions += self._handle_timer(flow, number, now=now)
-        if self._leave_deadline is not None and now >= self._next_move_at:
-            actions += self._send_moves(now=now)
+        if self._drain_deadline is not None and now >= self._next_go_away_at:
+            actions += self._send_go_away(now=now)
         return actions + self._fill_slots(now=now)
 
     def _handle_timer(self, flow: Flow, number: int, *, now: float) -> list[Action]:
@@ -354,15 +354,15 @@
 
     def _fill_slots(self, *, now: float) -> list[Action]:
         """Dispatch queued requests to free slots."""
-        runs, rejected = self._requests.next_runs(target_state=self.life, now=now)
+        runs, rejected = self._requests.next_runs(lifecycle=self.life, now=now)
         actions: list[Action] = list(runs)
         for flow, replies in rejected:
             actions += self._replies(flow, replies)
         return actions
 
-    def _send_moves(self, *, now: float) -> list[Action]:
+    def _send_go_away(self, *, now: float) -> list[Action]:
         """Ask the callers of all flows to move."""
-        self._next_move_at = now + MOVE_EVERY_SECONDS
+        self._next_go_away_at = now + MOVE_EVERY_SECONDS
         actions: list[Action] = []
         for flow in self._flows_by_id.values():
             # The balancer used last may be gone and drop each message.
--- a/monsoonpier/agent/tokens/process.py
+++ b/monsoonpier/agent/tokens/process.py
@@ -65,7 +65,7 @@
 
 
 class AgentProcess:
-    """Runs one agent until it is asked to leave and has no work left."""
+    """Runs one agent until it is asked to shut down and has no work left."""
 
     def __init__(self, *, settings: Settings) -> None:
         assert settings.target and settings.internal and settings.control
@@ -81,7 +81,7 @@
             port=settings.internal.port,
             instance=instance,
         )
-        self._holder = Holder(
+        self._owner = Holder(
             token=token,
             keys=settings.keys,
             slots=settings.target.slots,
@@ -94,7 +94,7 @@
             store=EtcdStore(addresses=settings.platform, draw=self._draw),
             record=target_record(settings, instance=instance),
             send=self._send_control,
-            read_load=lambda: self._holder.load(now=_now()),
+            read_load=lambda: self._owner.load(now=_now()),
             configure=self._configure,
             evacuate=self._evacuate,
             draw=self._draw,
@@ -108,15 +108,15 @@
         self._web = WebServer(
             address=settings.metrics,
             read_metrics=self._metrics,
-            is_ready=lambda: self._life.is_ready and self._holder.life.takes_flows,
+            is_ready=lambda: self._life.is_ready and self._owner.life.takes_flows,
         )
         self._dropped_frames: dict[str, int] = {}
         self._control_bytes = {"in": 0, "out": 0}
-        self._leave_requested = False
+        self._shutdown_requested = False
         self._is_allowed = True
 
     async def run(self) -> None:
-        """Serve until asked to leave and no work is left.
+        """Serve until asked to shut down and no work is left.
 
         Raises:
             OSError: If a port is taken.
@@ -133,16 +133,16 @@
             self._check_health_forever,
             self._link.run,
         )
-        await run_until_left(self._leave_and_finish, jobs)
+        await run_until_left(self._drain_and_finish, jobs)
         await self._stop()
 
-    async def _leave_and_finish(self) -> None:
-        """Wait for the order to leave, finish all work, and announce the end."""
+    async def _drain_and_finish(self) -> None:
+        """Wait for a shutdown, drain, and announce that the target is gone."""
         await self._life.wait_for_leaving()
-        self._leave_requested = True
-        self._execute(self._holder.leave(now=_now()))
-        self._link.announce(self._holder.life.code)
-        while not self._holder.is_finished(now=_now()):
+        self._shutdown_requested = True
+        self._execute(self._owner.leave(now=_now()))
+        self._link.announce(self._owner.life.code)
+        while not self._owner.is_finished(now=_now()):
             await asyncio.sleep(TICK_SECONDS)
         for _ in range(GONE_ANNOUNCEMENTS):
             self._link.announce(Condition.GONE)
@@ -164,7 +164,7 @@
         frame = self._codec.decode(data)
         match frame:
             case Forward():
-                actions = self._holder.forwarded(
+                actions = self._owner.forwarded(
                     frame, via=sender, now=_now(), draw=self._draw
                 )
                 self._execute(actions)
@@ -195,7 +195,7 @@
                 case EndStream():
                     self._runner.end_stream(action)
                 case Return():
-                    self._reject_open(action)
+                    self._return_open(action)
 
     def _send_reply(self, reply: Reply) -> None:
         frame = frames.Return(
@@ -204,13 +204,13 @@
             port=reply.port,
             payload=reply_codec.encode(reply.message),
             agent=self._settings.name,
-            load=self._holder.load(now=_now()),
+            load=self._owner.load(now=_now()),
             opened=isinstance(reply.message, Opened),
         )
         self._send(frame, reply.via)
 
-    def _reject_open(self, action: Return) -> None:
-        """Return an OPEN to its balancer, which tries another target."""
+    def _return_open(self, action: Return) -> None:
+        """Return an OPEN to its balancer, which attempts another target."""
         frame = Bounce(
             service=self._settings.target.service,
             ip=action.ip,
@@ -220,25 +220,25 @@
             reason=action.reason,
             retry_after_ms=action.retry_after_ms,
             agent=self._settings.name,
-            load=self._holder.load(now=_now()),
+            load=self._owner.load(now=_now()),
         )
         self._send(frame, action.via)
 
     # Events from the target
 
     def _handle_event(self, event: Event) -> None:
-        previous = self._holder.life.label
+        previous = self._owner.life.label
         match event:
             case RunEnded(key=key, result=result):
-                actions = self._holder.run_ended(
+                actions = self._owner.run_ended(
                     key, result, now=_now(), draw=self._draw
                 )
             case ItemRead(key=key, item=item):
-                actions = self._holder.stream_item(
+                actions = self._owner.stream_item(
                     key, item.number, item.body, now=_now()
                 )
             case StreamClosed(key=key, reason=reason, broke=broke):
-                actions = self._holder.stream_ended(
+                actions = self._owner.stream_ended(
                     key, reason, reopen=broke, now=_now()
                 )
         self._execute(actions)
@@ -250,30 +250,30 @@
             await asyncio.sleep(HEALTH_SECONDS)
 
     def _handle_health(self, health: HealthStatus) -> None:
-        """Leave if the target drains; stay or serve if it is healthy again."""
-        previous = self._holder.life.label
+        """Drain if the target asks for it; serve again if it is healthy."""
+        previous = self._owner.life.label
         if health.draining:
-            self._execute(self._holder.leave(now=_now()))
+            self._execute(self._owner.leave(now=_now()))
         elif health.healthy:
-            may_stay = self._is_allowed and not self._leave_requested
-            if self._holder.life.is_leaving and may_stay:
-                self._holder.stay(now=_now())
-            self._holder.life = self._holder.life.healthy(now=_now())
+            may_stay = self._is_allowed and not self._shutdown_requested
+            if self._owner.life.is_leaving and may_stay:
+                self._owner.stay(now=_now())
+            self._owner.life = self._owner.life.healthy(now=_now())
         self._announce_if_changed(previous)
 
     async def _tick_forever(self) -> None:
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            previous = self._holder.life.label
-            self._execute(self._holder.tick(now=_now(), draw=self._draw))
+            previous = self._owner.life.label
+            self._execute(self._owner.tick(now=_now(), draw=self._draw))
             self._announce_if_changed(previous)
 
     def _announce_if_changed(self, previous: str) -> None:
         """Announce a changed target state without waiting for the next heartbeat."""
-        label = self._holder.life.label
+        label = self._owner.life.label
         if label != previous:
             _log.info("target state changed", before=previous, after=label)
-            self._link.announce(self._holder.life.code)
+            self._link.announce(self._owner.life.code)
 
     # Balancers
 
@@ -291,23 +291,23 @@
         )
 
     def _handle_heartbeat_ack(self, ack: HeartbeatAck) -> None:
-        """Handle a heartbeat's answer; leave if the target is not allowed."""
-        previous = self._holder.life.label
+        """Handle a heartbeat's reply; drain while the target is not allowed."""
+        previous = self._owner.life.label
         self._is_allowed = self._link.acknowledged(ack)
         if not self._is_allowed:
-            self._execute(self._holder.leave(now=_now()))
+            self._execute(self._owner.leave(now=_now()))
         self._announce_if_changed(previous)
 
     def _configure(self, configuration: Configuration) -> None:
         """Apply a new configuration."""
         services = configuration.services_by_name
-        self._holder.service = services.get(self._settings.target.service)
+        self._owner.service = services.get(self._settings.target.service)
         self._life.step("configured")
 
     def _evacuate(self) -> None:
         """Apply an evacuation order or its revocation; open flows keep their work."""
-        life = self._holder.life
-        self._holder.life = life.with_evacuation(self._link.is_evacuated)
+        life = self._owner.life
+        self._owner.life = life.with_evacuation(self._link.is_evacuated)
 
     # Control requests and metrics
 
@@ -318,7 +318,7 @@
                     name=self._settings.name,
                     role="agent",
                     data_centre=self._settings.data_centre,
-                    state=self._holder.life.label,
+                    state=self._owner.life.label,
                     version=self._link.configuration.version,
                     uptime=_now() - self._started,
                 )
@@ -328,12 +328,12 @@
         return None
 
     def _metrics(self):
-        holder = self._holder
-        requests = holder.requests
+        owner = self._owner
+        requests = owner.requests
         uptime = _now() - self._started
         yield gauge("uptime_seconds", "Time since start.", uptime)
-        yield gauge("flows", "Open flows.", holder.flows)
-        yield gauge("streams", "Open streams.", holder.streams)
+        yield gauge("flows", "Open flows.", owner.flows)
+        yield gauge("streams", "Open streams.", owner.streams)
         yield gauge(
             "requests_in_flight", "Requests running at the target.", requests.in_flight
         )
@@ -350,7 +350,7 @@
         )
         outcomes = requests.outcomes_by_name
         yield counter("requests", "Finished requests.", outcomes, "outcome")
-        drops = dict(holder.dropped_by_reason)
+        drops = dict(owner.dropped_by_reason)
         for reason, count in self._dropped_frames.items():
             drops[reason] = drops.get(reason, 0) + count
         yield counter("dropped_datagrams", "Dropped datagrams.", drops, "reason")
--- a/monsoonpier/agent/tokens/replies.py
+++ b/monsoonpier/agent/tokens/replies.py
@@ -10,7 +10,7 @@
     VerdictKind,
 )
 
-__all__ = ["already_done", "progress", "verdict"]
+__all__ = ["already_done", "progress", "final_status"]
 
 
 def progress(flow: Flow, request: Request) -> Progress:
@@ -28,7 +28,7 @@
 
 
 def already_done(flow: Flow, request_id: int) -> Verdict:
-    """Return the verdict on a request id below the flow's watermark."""
+    """Return the final status of a request id below the flow's watermark."""
     return Verdict(
         flow=flow.id,
         request=request_id,
@@ -37,7 +37,7 @@
     )
 
 
-def verdict(
+def final_status(
     flow: Flow,
     request: Request,
     kind: VerdictKind,
@@ -46,7 +46,7 @@
     retry_after_ms: int = 0,
     reopen: bool = False,
 ) -> Verdict:
-    """Return a final verdict; cuts values that exceed the limits of the wire format."""
+    """Return a final status; cuts values that exceed the limits of the wire format."""
     return Verdict(
         flow=flow.id,
         request=request.id,
--- a/monsoonpier/agent/tokens/requests.py
+++ b/monsoonpier/agent/tokens/requests.py
@@ -30,9 +30,9 @@
     admit,
     smooth,
 )
-from monsoonpier.agent.tokens.condition import TargetState
+from monsoonpier.agent.tokens.condition import TargetLifecycle
 from monsoonpier.agent.tokens.flows import Answer, Flow, Request, Stage
-from monsoonpier.agent.tokens.replies import already_done, progress, verdict
+from monsoonpier.agent.tokens.replies import already_done, final_status, progress
 from monsoonpier.model.service import Service
 from monsoonpier.wire.datagrams import (
     DIGEST_BYTES,
@@ -113,7 +113,7 @@
         part: RequestPart,
         *,
         service: Service | None,
-        target_state: TargetState,
+        lifecycle: TargetLifecycle,
         now: float,
         draw: random.Random,
     ) -> tuple[list[Action], list]:
@@ -128,7 +128,7 @@
         if request is None:
             request = self._add_request(flow, part, now=now)
             rejection = self._find_rejection(
-                part, service=service, target_state=target_state, now=now
+                part, service=service, lifecycle=lifecycle, now=now
             )
             if rejection is not None:
                 reason, retry_after, reopen = rejection
@@ -175,7 +175,7 @@
                 self._finish(
                     flow,
                     request,
-                    verdict(flow, request, VerdictKind.CANCELLED, "cancelled"),
+                    final_status(flow, request, VerdictKind.CANCELLED, "cancelled"),
                 )
                 key = RequestKey(flow.id, request_id)
                 return [Abort(key=key)], self.outcome(flow, request)
@@ -258,12 +258,12 @@
                 self._finish(
                     flow,
                     request,
-                    verdict(flow, request, VerdictKind.LATE, "deadline passed"),
+                    final_status(flow, request, VerdictKind.LATE, "deadline passed"),
                 )
         return flow, self.outcome(flow, request)
 
     def next_runs(
-        self, *, target_state: TargetState, now: float
+        self, *, lifecycle: TargetLifecycle, now: float
     ) -> tuple[list[Run], list]:
         """Dispatch queued requests to free slots.
 
@@ -272,7 +272,7 @@
         """
         runs: list[Run] = []
         rejected: list[tuple[Flow, list]] = []
-        slots = 1 if target_state.one_at_a_time else self._slots
+        slots = 1 if lifecycle.one_at_a_time else self._slots
         while self._queue and self.in_flight < slots:
             key, (flow, request, body) = self._queue.popitem(last=False)
             self._kept_bytes -= len(body)
@@ -290,7 +290,7 @@
         if request is None or request.stage is Stage.FINISHED or now < request.deadline:
             return [], []
         if request.stage is Stage.RUNNING:
-            late = verdict(flow, request, VerdictKind.LATE, "deadline passed")
+            late = final_status(flow, request, VerdictKind.LATE, "deadline passed")
             self._finish(flow, request, late)
             abort = Abort(key=RequestKey(flow.id, request_id), late=True)
             return [abort], self.outcome(flow, request)
@@ -331,16 +331,16 @@
         part: RequestPart,
         *,
         service: Service | None,
-        target_state: TargetState,
+        lifecycle: TargetLifecycle,
         now: float,
     ) -> tuple[str, float, bool] | None:
         """Return reason, retry delay and ``reopen`` if the request is rejected."""
-        if target_state.is_leaving:
+        if lifecycle.is_leaving:
             return "leaving", 0.0, True
-        if not target_state.takes_requests:
-            return target_state.label, target_state.retry_after(now=now), True
-        if target_state.one_at_a_time and self.in_flight:
-            return target_state.label, target_state.retry_after(now=now), True
+        if not lifecycle.takes_requests:
+            return lifecycle.label, lifecycle.retry_after(now=now), True
+        if lifecycle.one_at_a_time and self.in_flight:
+            return lifecycle.label, lifecycle.retry_after(now=now), True
         if service is None:
             return "no configuration", 1.0, True
         kind = service.kinds_by_name.get(part.kind)
@@ -450,8 +450,8 @@
         retry_after: float,
         reopen: bool = False,
     ) -> list:
-        """Finish a request with the verdict that it did not run."""
-        rejection = verdict(
+        """Finish a request with the final status that it did not run."""
+        rejection = final_status(
             flow,
             request,
             VerdictKind.NOT_RUN,
@@ -466,7 +466,9 @@
         return self._reject(flow, request, "deadline passed in queue", retry_after=0.0)
 
     def _finish_unknown(self, flow: Flow, request: Request, reason: str) -> None:
-        self._finish(flow, request, verdict(flow, request, VerdictKind.UNKNOWN, reason))
+        self._finish(
+            flow, request, final_status(flow, request, VerdictKind.UNKNOWN, reason)
+        )
 
     def _count_rejection(self, *, now: float) -> None:
         self._rejections = self._load().rejections_now(now=now) + 1
--- a/monsoonpier/caller/__init__.py
+++ b/monsoonpier/caller/__init__.py
@@ -1,4 +1,4 @@
-"""The library that callers import.
+"""The client library for callers of a service.
 
 from monsoonpier.caller import Caller, Done
 
--- a/monsoonpier/caller/command.py
+++ b/monsoonpier/caller/command.py
@@ -1,4 +1,4 @@
-"""``monsoonpier call``: a caller from the shell."""
+"""The command ``monsoonpier call``, which sends one request or reads a stream."""
 
 import sys
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Call:
-    """What to call, and how."""
+    """The arguments of ``monsoonpier call``; ``deadline`` is in seconds."""
 
     address: str
     kind: str
@@ -25,7 +25,7 @@
 
 
 async def run_call(call: Call) -> int:
-    """Make the call; return the exit status."""
+    """Make the call and print the result; return the exit status."""
     try:
         caller = Caller(call.address)
     except ValueError as error:
@@ -33,14 +33,14 @@
         return Exit.BAD_INPUT
     async with caller:
         if call.stream:
-            return await _stream(caller, call)
+            return await _print_stream(caller, call)
         outcome = await caller.request(
             call.kind, call.body, deadline=call.deadline, idempotent=call.idempotent
         )
-    return _show(outcome)
+    return _print_outcome(outcome)
 
 
-async def _stream(caller: Caller, call: Call) -> int:
+async def _print_stream(caller: Caller, call: Call) -> int:
     count = 0
     async for item in caller.stream(call.kind, after=call.after):
         print(f"{item.number}\t{item.body.decode(errors='replace')}", flush=True)
@@ -50,7 +50,7 @@
     return Exit.OK
 
 
-def _show(outcome: Outcome) -> int:
+def _print_outcome(outcome: Outcome) -> int:
     match outcome:
         case Done(status=status, body=body):
             sys.stdout.buffer.write(body)
--- a/monsoonpier/caller/retries.py
+++ b/monsoonpier/caller/retries.py
@@ -1,4 +1,4 @@
-"""When a request is tried again: never if it may have run and must not twice."""
+"""Retry decisions: a request that may have run is retried only if idempotent."""
 
 from dataclasses import dataclass, replace
 
@@ -12,59 +12,70 @@
     Unknown,
 )
 
-__all__ = ["Final", "Retry", "RetryBudget", "decide"]
+__all__ = ["Final", "Retry", "RetryBudget", "decide_retry"]
 
-RETRY_SHARE = 0.1  # of recent successes: retries can't multiply an overload
-BUDGET_CAP = 10.0
-FREE_MOVES = 3  # a leaving target is no overload, so moving on is not charged
+RETRY_SHARE = 0.1  # retries earned by a success; keeps retries from adding overload
+BUDGET_CAP = 10.0  # retries
+MAX_FREE_RETRIES = 3  # a leaving target is not overloaded, so they cost no budget
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RetryBudget:
-    """How many retries a caller has left; each success adds a share of one."""
+    """The number of retries left; each success adds ``share`` retries."""
 
     left: float = 3.0
     share: float = RETRY_SHARE
 
     def after_success(self) -> "RetryBudget":
-        """Return the budget with the share of one success added."""
+        """Return the budget after a successful request."""
         return replace(self, left=min(BUDGET_CAP, self.left + self.share))
 
     def after_retry(self) -> "RetryBudget":
-        """Return the budget with one retry taken."""
+        """Return the budget after one retry."""
         return replace(self, left=self.left - 1)
 
     @property
     def allows_retry(self) -> bool:
-        """Whether one whole retry is left."""
+        """Whether at least one retry is left."""
         return self.left >= 1
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Retry:
-    """Try again on another flow after ``wait`` seconds."""
+    """Retry on another flow after ``wait`` seconds.
+
+    ``uses_budget`` tells whether the retry counts against the budget.
+    """
 
     wait: float
-    is_charged: bool
+    uses_budget: bool
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Final:
-    """Give the outcome to the caller now."""
+    """Return the outcome to the caller; don't retry."""
 
 
-def decide(
+def decide_retry(
     outcome: Outcome,
     *,
     idempotent: bool,
     budget: RetryBudget,
-    moves: int,
+    free_retries: int,
     time_left: float,
 ) -> Retry | Final:
-    """Decide what follows an outcome; ``moves`` counts free retries so far."""
+    """Decide whether to retry a request after this outcome.
+
+    Args:
+        outcome: The outcome of the last attempt.
+        idempotent: Whether the request may be retried after it may have run.
+        budget: The retries left.
+        free_retries: The retries so far that didn't use the budget.
+        time_left: Seconds until the deadline.
+    """
     match outcome:
-        case NotRun(reopen=True, retry_after=0.0) if moves < FREE_MOVES:
-            return Retry(wait=0.0, is_charged=False)
+        case NotRun(reopen=True, retry_after=0.0) if free_retries < MAX_FREE_RETRIES:
+            return Retry(wait=0.0, uses_budget=False)
         case NotRun(reopen=True, retry_after=wait) | Refused(retry_after=wait):
             pass
         case FlowLost() | Unknown() if idempotent:
@@ -75,4 +86,4 @@
             return Final()
     if not budget.allows_retry or wait >= time_left:
         return Final()
-    return Retry(wait=wait, is_charged=True)
+    return Retry(wait=wait, uses_budget=True)
--- a/monsoonpier/caller/session.py
+++ b/monsoonpier/caller/session.py
@@ -1,4 +1,4 @@
-"""One flow as its caller sees it: datagrams and time in, datagrams and events out."""
+"""The caller's side of one flow, without I/O: datagrams and time in, events out."""
 
 from dataclasses import dataclass, field
 
@@ -30,33 +30,33 @@
 __all__ = [
     "FlowLostEvent",
     "FlowOpened",
-    "FlowRefused",
+    "FlowRejected",
     "FlowSession",
     "ItemsReady",
-    "MoveAsked",
+    "GoAwayReceived",
     "RequestEnded",
     "StreamEnded",
 ]
 
 OPEN_RESEND_SECONDS = 0.1
 MAX_OPEN_RESEND_SECONDS = 0.8
-OPEN_SECONDS = 3.0
-PING_SECONDS = 5.0
+OPEN_SECONDS = 3.0  # timeout of opening a flow
+PING_SECONDS = 5.0  # between pings on an idle flow
 PING_RESEND_SECONDS = 0.5
-SILENT_PINGS = 6
+SILENT_PINGS = 6  # unanswered pings after which the flow is lost
 STREAM_RESEND_SECONDS = 0.3
-STREAM_PING_SECONDS = 1.0  # a stream with no items must learn of its holder's end
-MAX_HELD_ITEMS = 256  # out of order, while an earlier item is sent again
+STREAM_PING_SECONDS = 1.0  # detects a lost owner on a stream without items
+MAX_BUFFERED_ITEMS = 256  # received out of order, per stream
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FlowOpened:
-    """The flow has a holder."""
+    """The flow was opened; an agent owns it."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class FlowRefused:
-    """No target takes the flow now."""
+class FlowRejected:
+    """The flow was rejected; ``retry_after`` is in seconds."""
 
     reason: str
     retry_after: float
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestEnded:
-    """A request has its outcome."""
+    """A request ended with an outcome."""
 
     request: int
     outcome: Outcome
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StreamEnded:
-    """A stream came to its end, or must be resumed on another flow."""
+    """A stream ended, or must be resumed on another flow if ``reopen``."""
 
     request: int
     reason: str
@@ -88,27 +88,32 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class MoveAsked:
-    """The holder is leaving."""
+class GoAwayReceived:
+    """The flow's owner is leaving and asks to move to another flow."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FlowLostEvent:
-    """The holder is gone; what was open on the flow has been ended."""
+    """The flow's owner is gone; its requests and streams have ended."""
 
 
 @dataclass(slots=True, kw_only=True)
-class _StreamIn:
+class _IncomingStream:
+    """A stream's position and the items that were received out of order."""
+
     kind: str
-    taken: int  # number of the last item taken in order
-    held_by_previous: dict[int, Item] = field(default_factory=dict)
+    last: int  # number of the last item received in order
+    buffered_by_previous: dict[int, Item] = field(default_factory=dict)
     has_begun: bool = False
     due: float = 0.0
     end: StreamEnd | None = None
 
 
 class FlowSession:
-    """Pure but for its own state. Collect ``outbox`` after each call."""
+    """The caller's state of one flow; does no I/O.
+
+    Datagrams to send are put in ``outbox``; send them after each call.
+    """
 
     def __init__(self, *, flow: bytes, now: float) -> None:
         self.flow = flow
@@ -119,39 +124,42 @@
         self.dropped = 0
         self._next_request = 1
         self._transfers_by_request: dict[int, Transfer] = {}
-        self._streams_by_request: dict[int, _StreamIn] = {}
+        self._streams_by_request: dict[int, _IncomingStream] = {}
         self._open_attempts = 0
-        self._open_until = now + OPEN_SECONDS
+        self._open_deadline = now + OPEN_SECONDS
         self._open_due = now
         self._ping_due = now
         self._unanswered_pings = 0
 
     @property
     def is_open(self) -> bool:
-        """Whether the flow has a holder."""
+        """Whether an agent owns the flow and it is not closed."""
         return bool(self.token) and not self.is_closed
 
     @property
     def takes_work(self) -> bool:
-        """Whether new requests and streams may be begun in the flow."""
+        """Whether new requests and streams may start on the flow."""
         return self.is_open and not self.is_moving
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is going on in the flow."""
+        """Whether the flow has no requests and streams."""
         return not self._transfers_by_request and not self._streams_by_request
 
     @property
     def acked(self) -> int:
-        """The mark: every request below it is finished with."""
+        """The watermark: the caller has finished with all lower request numbers."""
         unfinished = [*self._transfers_by_request, *self._streams_by_request]
         return min(unfinished, default=self._next_request)
 
-    # What the caller wants
+    # Requests and streams
 
     def request(self, kind: str, body: bytes, *, deadline: float, now: float) -> int:
-        """Send a request and return its number; ``deadline`` is on this clock."""
-        number = self._take_number()
+        """Send a request and return its number.
+
+        ``deadline`` is a time of the same clock as ``now``.
+        """
+        number = self._allocate_number()
         transfer = Transfer(
             flow=self.flow,
             token=self.token,
@@ -166,20 +174,22 @@
         return number
 
     def cancel(self, number: int, *, now: float) -> None:
-        """Give up on a request."""
+        """Cancel a request; its outcome still follows as an event."""
         transfer = self._transfers_by_request.get(number)
         if transfer is not None:
             self._send(*transfer.cancel(acked=self.acked, now=now))
 
     def open_stream(self, kind: str, *, after: int, now: float) -> int:
-        """Ask for a stream's items after a number; return its request number."""
-        number = self._take_number()
-        self._streams_by_request[number] = _StreamIn(kind=kind, taken=after, due=now)
+        """Open a stream after item number ``after``; return its request number."""
+        number = self._allocate_number()
+        self._streams_by_request[number] = _IncomingStream(
+            kind=kind, last=after, due=now
+        )
         self._poll_stream(number, now=now)
         return number
 
     def close_stream(self, number: int) -> None:
-        """Stop a stream."""
+        """Stop receiving a stream and tell its owner to end it."""
         if self._streams_by_request.pop(number, None) is not None:
             cancel = Cancel(
                 flow=self.flow, token=self.token, request=number, acked=self.acked
@@ -187,7 +197,7 @@
             self._send(cancel)
 
     def close(self) -> None:
-        """End the flow."""
+        """Close the flow and send `Close` to its owner."""
         if self.is_open:
             self._send(Close(flow=self.flow, token=self.token))
         self.is_closed = True
@@ -196,11 +206,11 @@
 
     @property
     def due(self) -> float:
-        """When `poll` has something to do next."""
+        """The time at which to call `poll` next."""
         if self.is_closed:
             return float("inf")
         if not self.token:
-            return min(self._open_due, self._open_until)
+            return min(self._open_due, self._open_deadline)
         times = [t.due for t in self._transfers_by_request.values()]
         times += [s.due for s in self._streams_by_request.values()]
         return min(times, default=self._ping_due)
@@ -214,20 +224,21 @@
         events: list = []
         for number, transfer in list(self._transfers_by_request.items()):
             self._send(*transfer.poll(acked=self.acked, now=now))
-            events += self._ended(number)
+            events += self._finish_if_ended(number)
         for number in list(self._streams_by_request):
             if now >= self._streams_by_request[number].due:
                 self._poll_stream(number, now=now)
         if self.is_idle and now >= self._ping_due:
             self._ping(now=now)
         if self._unanswered_pings > SILENT_PINGS:
-            events += self._lose()
+            events += self._end_as_lost()
         return events
 
     def _poll_open(self, *, now: float) -> list:
-        if now >= self._open_until:
+        """Send OPEN if it is due; report the flow as rejected at the timeout."""
+        if now >= self._open_deadline:
             self.is_closed = True
-            return [FlowRefused(reason="no answer to OPEN", retry_after=1.0)]
+            return [FlowRejected(reason="no answer to OPEN", retry_after=1.0)]
         if now >= self._open_due:
             message = Open(flow=self.flow, attempt=self._open_attempts)
             padding = MIN_OPEN_BYTES - len(caller_codec.encode(message))
@@ -247,11 +258,12 @@
         self._ping_due = now + (PING_SECONDS if is_first else PING_RESEND_SECONDS)
 
     def _poll_stream(self, number: int, *, now: float) -> None:
+        """Ping a stream's owner; before the first item, resend the opening."""
         stream = self._streams_by_request[number]
         if stream.has_begun:
             self._send(
                 Ping(flow=self.flow, token=self.token, acked=self.acked),
-                self._ack(number, stream),
+                self._stream_ack(number, stream),
             )
             self._unanswered_pings += 1
             stream.due = now + (
@@ -267,7 +279,7 @@
                 request=number,
                 acked=self.acked,
                 kind=stream.kind,
-                after=stream.taken,
+                after=stream.last,
             )
         )
         self._send(Ping(flow=self.flow, token=self.token, acked=self.acked))
@@ -277,7 +289,7 @@
     # Datagrams
 
     def receive(self, data: bytes, *, now: float) -> list:
-        """Take a datagram that came to the caller; return events."""
+        """Handle a datagram from the flow's owner; return events."""
         message = reply_codec.decode(data)
         if isinstance(message, Dropped) or message.flow != self.flow:
             self.dropped += 1
@@ -286,62 +298,69 @@
             return []
         match message:
             case Opened(token=token):
-                return self._opened(token, now=now)
+                return self._handle_opened(token, now=now)
             case OpenRefused(reason=reason, retry_after_ms=wait) if not self.token:
                 self.is_closed = True
-                return [FlowRefused(reason=reason, retry_after=wait / 1000)]
+                return [FlowRejected(reason=reason, retry_after=wait / 1000)]
             case FlowGone() if self.token:
-                return self._lose()
+                return self._end_as_lost()
         if not self.token:
             self.dropped += 1
             return []
         self._unanswered_pings = 0
-        return self._established(message, now=now)
+        return self._handle_message(message, now=now)
 
-    def _opened(self, token: bytes, *, now: float) -> list:
+    def _handle_opened(self, token: bytes, *, now: float) -> list:
+        """Store the flow's token; close the flow at any further agent."""
         if self.token:
             if token != self.token:
-                # A repeated OPEN got a second holder; it need not wait in vain.
+                # A resent OPEN reached a second agent, which would keep the flow.
                 self._send(Close(flow=self.flow, token=token))
             return []
         self.token = token
         self._ping_due = now + PING_SECONDS
         return [FlowOpened()]
 
-    def _established(self, message, *, now: float) -> list:
+    def _handle_message(self, message, *, now: float) -> list:
+        """Handle a message on an open flow."""
         match message:
             case Progress() | AnswerPart() | Verdict():
-                return self._for_transfer(message, now=now)
+                return self._handle_request_message(message, now=now)
             case Item():
-                return self._item(message, now=now)
+                return self._handle_item(message, now=now)
             case StreamEnd():
-                return self._stream_end(message, now=now)
+                return self._handle_stream_end(message, now=now)
             case Move():
                 if self.is_moving:
                     return []
                 self.is_moving = True
-                return [MoveAsked()]
+                return [GoAwayReceived()]
             case Pong():
                 return []
         self.dropped += 1
         return []
 
-    def _for_transfer(self, message, *, now: float) -> list:
+    def _handle_request_message(self, message, *, now: float) -> list:
         transfer = self._transfers_by_request.get(message.request)
         if transfer is None:
-            # Late, or of a request that was given up: nobody waits for it.
+            # The request has ended, or was cancelled.
             self.dropped += 1
             return []
         match message:
             case Progress():
-                self._send(*transfer.progress(message, acked=self.acked, now=now))
+                self._send(
+                    *transfer.handle_progress(message, acked=self.acked, now=now)
+                )
             case AnswerPart():
-                self._send(*transfer.answer(message, acked=self.acked, now=now))
+                self._send(
+                    *transfer.handle_answer_part(message, acked=self.acked, now=now)
+                )
             case Verdict():
-                transfer.verdict(message)
-        return self._ended(message.request)
+                transfer.handle_final_status(message)
+        return self._finish_if_ended(message.request)
 
-    def _ended(self, number: int) -> list:
+    def _finish_if_ended(self, number: int) -> list:
+        """Remove a request that has an outcome; return its event."""
         outcome = self._transfers_by_request[number].outcome
         if outcome is None:
             return []
@@ -349,30 +368,31 @@
         self._send(Ping(flow=self.flow, token=self.token, acked=self.acked))
         return [RequestEnded(request=number, outcome=outcome)]
 
-    def _item(self, message: Item, *, now: float) -> list:
+    def _handle_item(self, message: Item, *, now: float) -> list:
+        """Acknowledge an item; return the items that are next in order."""
         stream = self._streams_by_request.get(message.request)
         if stream is None:
             self.dropped += 1
             return []
         stream.has_begun = True
         stream.due = now + STREAM_PING_SECONDS
-        if message.number > stream.taken and (
-            message.previous == stream.taken
-            or len(stream.held_by_previous) < MAX_HELD_ITEMS
+        if message.number > stream.last and (
+            message.previous == stream.last
+            or len(stream.buffered_by_previous) < MAX_BUFFERED_ITEMS
         ):
-            stream.held_by_previous[message.previous] = message
+            stream.buffered_by_previous[message.previous] = message
         items = []
-        while stream.taken in stream.held_by_previous:
-            item = stream.held_by_previous.pop(stream.taken)
-            stream.taken = item.number
+        while stream.last in stream.buffered_by_previous:
+            item = stream.buffered_by_previous.pop(stream.last)
+            stream.last = item.number
             items.append((item.number, item.body))
-        self._send(self._ack(message.request, stream))
+        self._send(self._stream_ack(message.request, stream))
         events: list = []
         if items:
             events.append(ItemsReady(request=message.request, items=tuple(items)))
         return events + self._finish_stream(message.request)
 
-    def _stream_end(self, message: StreamEnd, *, now: float) -> list:
+    def _handle_stream_end(self, message: StreamEnd, *, now: float) -> list:
         stream = self._streams_by_request.get(message.request)
         if stream is None:
             self.dropped += 1
@@ -381,9 +401,9 @@
         return self._finish_stream(message.request)
 
     def _finish_stream(self, number: int) -> list:
-        """End a stream once every item up to its end has been taken."""
+        """End a stream once every item up to its end has been received."""
         stream = self._streams_by_request[number]
-        if stream.end is None or stream.taken < stream.end.last:
+        if stream.end is None or stream.last < stream.end.last:
             return []
         self.close_stream(number)
         return [
@@ -392,10 +412,11 @@
             )
         ]
 
-    def _lose(self) -> list:
+    def _end_as_lost(self) -> list:
+        """Close the flow; end its requests as lost and its streams as resumable."""
         events: list = []
         for number, transfer in list(self._transfers_by_request.items()):
-            transfer.lost()
+            transfer.end_as_lost()
             events.append(RequestEnded(request=number, outcome=transfer.outcome))
         for number in self._streams_by_request:
             events.append(StreamEnded(request=number, reason="flow lost", reopen=True))
@@ -404,15 +425,16 @@
         self.is_closed = True
         return [*events, FlowLostEvent()]
 
-    def _ack(self, number: int, stream: _StreamIn) -> StreamAck:
+    def _stream_ack(self, number: int, stream: _IncomingStream) -> StreamAck:
         return StreamAck(
-            flow=self.flow, token=self.token, request=number, up_to=stream.taken
+            flow=self.flow, token=self.token, request=number, up_to=stream.last
         )
 
-    def _take_number(self) -> int:
+    def _allocate_number(self) -> int:
         number = self._next_request
         self._next_request += 1
         return number
 
     def _send(self, *messages) -> None:
+        """Encode messages and put them in the outbox."""
         self.outbox += [caller_codec.encode(message) for message in messages]
--- a/monsoonpier/caller/transfer.py
+++ b/monsoonpier/caller/transfer.py
@@ -1,4 +1,4 @@
-"""One request as its caller sees it: parts out, parts in, and its timers."""
+"""The caller's side of one request: sends its parts and collects the answer."""
 
 from hashlib import blake2b
 
@@ -26,19 +26,23 @@
 
 __all__ = ["Transfer"]
 
-SEND_WINDOW = 48  # parts sent ahead of what the agent says it has
-FETCH_WINDOW = 32  # answer parts asked for at a time
-RESEND_PARTS = 8
+SEND_WINDOW = 48  # parts sent and not yet acknowledged by a progress message
+FETCH_WINDOW = 32  # answer parts requested at a time
+RESEND_PARTS = 8  # parts resent at a time
 FIRST_RESEND_SECONDS = 0.1
 MAX_RESEND_SECONDS = 1.0
 FETCH_AGAIN_SECONDS = 0.05
-REORDER_SECONDS = 0.03  # a part may come this much later than its successors
-GRACE_SECONDS = 0.25  # for the agent's own word on a passed deadline
-SILENT_RESENDS = 6  # unanswered in a row: the holder is gone
+REORDER_SECONDS = 0.03  # how late a part may arrive after its successors
+GRACE_SECONDS = 0.25  # wait for the agent's final status after the deadline
+SILENT_RESENDS = 6  # consecutive unanswered resends before the flow is lost
 
 
 class Transfer:
-    """Pure but for its own state; the time is an argument everywhere."""
+    """State of one request and its answer; does no I/O.
+
+    Methods return the messages to send, and ``outcome`` is set at the end.
+    ``due`` is the time at which to call `poll` next.
+    """
 
     def __init__(
         self,
@@ -62,42 +66,42 @@
         self._have_below = 0
         self._sent_below = 0
         self._sent_at_by_part: dict[int, float] = {}
-        self._is_whole = False
+        self._is_delivered = False
         self._is_cancelled = False
         self._status = 0
         self._answer_parts = 0
         self._answer_digest = b""
         self._answer_by_part: dict[int, bytes] = {}
-        self._asked_below = 0
+        self._requested_below = 0
         self._resend_after = FIRST_RESEND_SECONDS
         self.due = now
         self._unanswered = 0
         self.outcome: Outcome | None = None
-        self.foreign_parts = 0
+        self.mismatched_parts = 0
 
     @staticmethod
     def fits(body: bytes) -> bool:
-        """Tell whether a body can be sent at all."""
+        """Return whether a body is small enough to be sent."""
         return len(body) <= MAX_PARTS * PART_BYTES
 
     def start(self, *, acked: int, now: float) -> list:
-        """Return the first datagrams."""
+        """Return the messages with the first parts."""
         self._set_due(now)
         return self._next_parts(acked, now=now)
 
     def cancel(self, *, acked: int, now: float) -> list:
-        """Give up; the agent's word on it is still waited for briefly."""
+        """Cancel the request; wait a short time for the agent's final status."""
         self._is_cancelled = True
         self._deadline = min(self._deadline, now + MAX_RESEND_SECONDS)
-        return [self._cancel(acked)]
+        return [self._make_cancel(acked)]
 
     def poll(self, *, acked: int, now: float) -> list:
-        """Return what is due to be sent again by ``now``."""
+        """Return the messages to resend at ``now``; may set the outcome."""
         if self.outcome is not None or now < self.due:
             return []
         if now >= self._deadline + GRACE_SECONDS:
             self.outcome = Cancelled() if self._is_cancelled else Late()
-            return [self._cancel(acked)]
+            return [self._make_cancel(acked)]
         self._unanswered += 1
         if self._unanswered > SILENT_RESENDS:
             self.outcome = FlowLost(reason="the holder of the flow is silent")
@@ -105,26 +109,26 @@
         self._resend_after = min(self._resend_after * 2, MAX_RESEND_SECONDS)
         self._set_due(now)
         if self._is_cancelled:
-            return [self._cancel(acked)]
+            return [self._make_cancel(acked)]
         if self._answer_parts:
-            self._asked_below = 0
-            return self._fetch(acked, now=now)
-        if self._is_whole:
-            return [Fetch(**self._ids(acked))]
+            self._requested_below = 0
+            return self._fetch_missing(acked, now=now)
+        if self._is_delivered:
+            return [Fetch(**self._common_fields(acked))]
         last = min(self._have_below + RESEND_PARTS, max(1, self._sent_below))
         return [
-            self._part(number, acked, now=now)
+            self._make_part(number, acked, now=now)
             for number in range(self._have_below, last)
         ]
 
-    def progress(self, message: Progress, *, acked: int, now: float) -> list:
-        """Take the agent's word on which parts it has."""
-        self._answered(now)
+    def handle_progress(self, message: Progress, *, acked: int, now: float) -> list:
+        """Handle a message that says which parts the agent has received."""
+        self._reset_resend(now)
         if message.whole:
-            self._is_whole = True
+            self._is_delivered = True
             self._have_below = self._parts
             return []
-        if message.have_below < self._have_below or self._is_whole:
+        if message.have_below < self._have_below or self._is_delivered:
             return []
         self._have_below = message.have_below
         overdue = [
@@ -132,40 +136,42 @@
             for number in message.missing[:RESEND_PARTS]
             if self._is_overdue(number, now=now)
         ]
-        resend = [self._part(number, acked, now=now) for number in overdue]
+        resend = [self._make_part(number, acked, now=now) for number in overdue]
         return resend + self._next_parts(acked, now=now)
 
     def _is_overdue(self, number: int, *, now: float) -> bool:
-        """Tell a lost part from one that another balancer still carries."""
+        """Return whether a part is lost rather than reordered on its way."""
         sent_at = self._sent_at_by_part.get(number, now)
         return now - sent_at > REORDER_SECONDS
 
-    def answer(self, message: AnswerPart, *, acked: int, now: float) -> list:
-        """Take one part of the answer; may set the outcome."""
-        self._answered(now)
+    def handle_answer_part(
+        self, message: AnswerPart, *, acked: int, now: float
+    ) -> list:
+        """Handle one part of the answer; may set the outcome."""
+        self._reset_resend(now)
         if not self._answer_parts:
             self._answer_parts = message.parts
             self._answer_digest = message.digest
             self._status = message.status
-            self._asked_below = FETCH_WINDOW // 2
-        is_ours = (
+            self._requested_below = FETCH_WINDOW // 2
+        matches = (
             message.parts == self._answer_parts
             and message.digest == self._answer_digest
             and message.part < message.parts
         )
-        if not is_ours:
-            self.foreign_parts += 1
+        if not matches:
+            self.mismatched_parts += 1
             return []
         self._answer_by_part[message.part] = message.body
         if len(self._answer_by_part) == self._answer_parts:
             self._finish_answer()
             return []
-        if len(self._answer_by_part) + FETCH_WINDOW // 2 > self._asked_below:
-            return self._fetch(acked, now=now)
+        if len(self._answer_by_part) + FETCH_WINDOW // 2 > self._requested_below:
+            return self._fetch_missing(acked, now=now)
         return []
 
-    def verdict(self, message: Verdict) -> None:
-        """Take the final word on a request that has no answer body."""
+    def handle_final_status(self, message: Verdict) -> None:
+        """Set the outcome of a request that ended without an answer."""
         if self.outcome is not None:
             return
         match message.kind:
@@ -184,12 +190,13 @@
             case VerdictKind.UNKNOWN | VerdictKind.ALREADY_DONE:
                 self.outcome = Unknown(reason=message.reason)
 
-    def lost(self) -> None:
-        """Take the news that the flow's holder is gone."""
+    def end_as_lost(self) -> None:
+        """Set the outcome after the flow was lost."""
         if self.outcome is None:
             self.outcome = FlowLost()
 
     def _finish_answer(self) -> None:
+        """Join the parts, check the digest and set the outcome."""
         body = b"".join(self._answer_by_part[n] for n in range(self._answer_parts))
         if blake2b(body, digest_size=DIGEST_BYTES).digest() != self._answer_digest:
             self.outcome = Unknown(reason="the answer's digest does not match")
@@ -197,33 +204,35 @@
         self.outcome = Done(status=self._status, body=body)
 
     def _next_parts(self, acked: int, *, now: float) -> list:
+        """Return the unsent parts within the send window."""
         end = min(self._parts, self._have_below + SEND_WINDOW)
         parts = [
-            self._part(number, acked, now=now)
+            self._make_part(number, acked, now=now)
             for number in range(self._sent_below, end)
         ]
         self._sent_below = max(self._sent_below, end)
         return parts
 
-    def _fetch(self, acked: int, *, now: float) -> list:
+    def _fetch_missing(self, acked: int, *, now: float) -> list:
+        """Request the next missing parts of the answer."""
         missing = []
         for number in range(self._answer_parts):
-            if number not in self._answer_by_part and number >= self._asked_below:
+            if number not in self._answer_by_part and number >= self._requested_below:
                 missing.append(number)
                 if len(missing) == FETCH_WINDOW:
                     break
         if not missing:
             return []
-        self._asked_below = missing[-1] + 1
+        self._requested_below = missing[-1] + 1
         self.due = min(self.due, now + self._resend_after)
-        return [Fetch(**self._ids(acked), missing=tuple(missing))]
+        return [Fetch(**self._common_fields(acked), missing=tuple(missing))]
 
-    def _part(self, number: int, acked: int, *, now: float) -> RequestPart:
+    def _make_part(self, number: int, acked: int, *, now: float) -> RequestPart:
         self._sent_at_by_part[number] = now
         start = number * PART_BYTES
         time_left = max(0.0, self._deadline - now)
         return RequestPart(
-            **self._ids(acked),
+            **self._common_fields(acked),
             kind=self._kind,
             time_left_ms=int(time_left * 1000),
             part=number,
@@ -232,10 +241,10 @@
             body=self._body[start : start + PART_BYTES],
         )
 
-    def _cancel(self, acked: int) -> Cancel:
-        return Cancel(**self._ids(acked))
+    def _make_cancel(self, acked: int) -> Cancel:
+        return Cancel(**self._common_fields(acked))
 
-    def _ids(self, acked: int) -> dict:
+    def _common_fields(self, acked: int) -> dict:
         return {
             "flow": self._flow,
             "token": self._token,
@@ -243,7 +252,8 @@
             "acked": acked,
         }
 
-    def _answered(self, now: float) -> None:
+    def _reset_resend(self, now: float) -> None:
+        """Reset the resend delay after a message from the agent."""
         self._unanswered = 0
         self._resend_after = FIRST_RESEND_SECONDS
         if self._answer_parts:
--- a/tests/agent/test_named_cases.py
+++ b/tests/agent/test_named_cases.py
@@ -13,7 +13,7 @@
     Shed,
     TimedOut,
 )
-from monsoonpier.agent.tokens.condition import TargetState
+from monsoonpier.agent.tokens.condition import TargetLifecycle
 from monsoonpier.agent.tokens.requests import MAX_KEPT_BYTES, WINDOW
 from monsoonpier.model.target import Condition
 from monsoonpier.model.token import HolderToken, open_token, seal_token
@@ -49,7 +49,7 @@
     def __init__(self, **limits) -> None:
         self.rig = Rig(agents=1)
         self.record = record("maps-1")
-        self.holder = holder(self.record, **limits)
+        self.owner = holder(self.record, **limits)
         self.now = 10.0
         opened = self.send(Open(flow=FLOW, padding=bytes(MIN_OPEN_BYTES)))
         self.token = opened[0].message.token
@@ -62,7 +62,7 @@
             port=5000,
             payload=caller_codec.encode(message),
         )
-        return self.holder.forwarded(frame, via=via, now=self.now, draw=self.rig.draw)
+        return self.owner.forwarded(frame, via=via, now=self.now, draw=self.rig.draw)
 
     def request(self, number: int, *, acked: int = 1, body: bytes = b"w", **more):
         """Send a request of one part."""
@@ -82,14 +82,14 @@
 
     def end(self, number: int, result) -> list:
         """End a run with a result; return the agent's actions."""
-        return self.holder.run_ended(
+        return self.owner.run_ended(
             RequestKey(FLOW, number), result, now=self.now, draw=self.rig.draw
         )
 
     def tick(self, seconds: float) -> list:
         """Let time pass; return the agent's actions."""
         self.now += seconds
-        return self.holder.tick(now=self.now, draw=self.rig.draw)
+        return self.owner.tick(now=self.now, draw=self.rig.draw)
 
 
 def runs(actions: list) -> int:
@@ -97,8 +97,8 @@
     return sum(isinstance(action, Run) for action in actions)
 
 
-def verdicts(actions: list) -> list:
-    """Return the kinds of the verdicts among the replies."""
+def statuses(actions: list) -> list:
+    """Return the kinds of final status among the replies."""
     messages = [a.message for a in actions if isinstance(a, Reply)]
     return [m.kind for m in messages if isinstance(m, Verdict)]
 
@@ -107,29 +107,29 @@
     """Requests run at most once, and "not run" requests never run."""
 
     def test_duplicate_after_not_run(self):
-        """A duplicate after "not run" gets the stored verdict and doesn't run."""
+        """A duplicate after "not run" gets the stored status and doesn't run."""
         agent = AgentHarness()
         agent.request(1)
-        self.assertEqual(verdicts(agent.end(1, Shed(retry_after=0.1))), [1])
+        self.assertEqual(statuses(agent.end(1, Shed(retry_after=0.1))), [1])
         agent.tick(1.0)
         again = agent.request(1)
         self.assertEqual(runs(again), 0)
-        self.assertEqual(verdicts(again), [VerdictKind.NOT_RUN])
+        self.assertEqual(statuses(again), [VerdictKind.NOT_RUN])
 
-    def test_duplicate_after_refusal_while_leaving(self):
-        """A request rejected while leaving doesn't run after the agent stays."""
+    def test_duplicate_after_rejection_while_draining(self):
+        """A request rejected while draining doesn't run after draining ends."""
         agent = AgentHarness()
-        agent.holder.leave(now=agent.now)
-        self.assertEqual(verdicts(agent.request(1)), [VerdictKind.NOT_RUN])
-        agent.holder.stay(now=agent.now)
-        agent.holder.life = agent.holder.life.healthy(now=agent.now)
+        agent.owner.leave(now=agent.now)
+        self.assertEqual(statuses(agent.request(1)), [VerdictKind.NOT_RUN])
+        agent.owner.stay(now=agent.now)
+        agent.owner.life = agent.owner.life.healthy(now=agent.now)
         self.assertEqual(runs(agent.request(1)), 0)
 
     def test_replaced_instance(self):
         """A new instance at the same address rejects flows of its predecessor."""
         agent = AgentHarness()
         agent.request(1)
-        agent.holder = holder(record("maps-1", epoch=2))
+        agent.owner = holder(record("maps-1", epoch=2))
         answer = agent.request(1)
         self.assertEqual(runs(answer), 0)
         self.assertIsInstance(answer[0].message, FlowGone)
@@ -138,7 +138,7 @@
         """A token of the old instance is invalid though the flow id is open."""
         agent = AgentHarness()
         old = agent.token
-        agent.holder = holder(record("maps-1", epoch=2))
+        agent.owner = holder(record("maps-1", epoch=2))
         agent.send(Open(flow=FLOW, padding=bytes(MIN_OPEN_BYTES)))
         agent.token = old
         answer = agent.request(1)
@@ -156,14 +156,14 @@
         self.assertEqual(runs(answer), 0)
         self.assertIsInstance(answer[0].message, FlowGone)
 
-    def test_deadline_between_hand_over_and_answer(self):
+    def test_deadline_while_running(self):
         """A request whose deadline passes while it runs is late, and stays late."""
         agent = AgentHarness()
         agent.request(1, time_left_ms=200)
-        self.assertEqual(verdicts(agent.tick(0.3)), [VerdictKind.LATE])
+        self.assertEqual(statuses(agent.tick(0.3)), [VerdictKind.LATE])
         after = agent.end(1, Answered(status=200, body=b"late", seconds=0.4))
         self.assertEqual([a for a in after if isinstance(a, Reply)], [])
-        self.assertEqual(verdicts(agent.request(1)), [VerdictKind.LATE])
+        self.assertEqual(statuses(agent.request(1)), [VerdictKind.LATE])
 
     def test_deadline_in_queue(self):
         """A request whose deadline passes in the queue is "not run" at once."""
@@ -171,12 +171,12 @@
         for number in (1, 2, 3):
             agent.request(number, time_left_ms=5000)
         agent.request(4, time_left_ms=150)
-        self.assertEqual(verdicts(agent.tick(0.2)), [VerdictKind.NOT_RUN])
-        self.assertEqual(agent.holder.requests.queued, 0)
+        self.assertEqual(statuses(agent.tick(0.2)), [VerdictKind.NOT_RUN])
+        self.assertEqual(agent.owner.requests.queued, 0)
         after = agent.end(1, Answered(status=200, body=b"", seconds=0.2))
         self.assertEqual(runs(after), 0)
 
-    def test_below_mark(self):
+    def test_below_watermark(self):
         """An id below the caller's watermark is answered "already done"."""
         agent = AgentHarness()
         agent.request(1)
@@ -184,7 +184,7 @@
         agent.send(Ping(flow=FLOW, token=agent.token, acked=2))
         again = agent.request(1)
         self.assertEqual(runs(again), 0)
-        self.assertEqual(verdicts(again), [VerdictKind.ALREADY_DONE])
+        self.assertEqual(statuses(again), [VerdictKind.ALREADY_DONE])
 
     def test_beyond_window(self):
         """An id beyond the window is dropped: no tombstone could be kept."""
@@ -206,25 +206,25 @@
         self.assertIsInstance(again[0].message, AnswerPart)
 
     def test_results_of_target(self):
-        """Each result of a run leads to its verdict."""
+        """Each result of a run leads to its final status."""
         table = (
             (Shed(retry_after=0.1), VerdictKind.NOT_RUN),
             (NeverSent(reason="refused"), VerdictKind.NOT_RUN),
             (Broke(reason="reset"), VerdictKind.UNKNOWN),
             (TimedOut(), VerdictKind.LATE),
         )
-        for result, verdict in table:
+        for result, status in table:
             with self.subTest(result=result):
                 agent = AgentHarness()
                 agent.request(1)
-                self.assertEqual(verdicts(agent.end(1, result)), [verdict])
+                self.assertEqual(statuses(agent.end(1, result)), [status])
 
     def test_wrong_digest(self):
         """A request whose body doesn't match its digest doesn't run."""
         agent = AgentHarness()
         answer = agent.request(1, digest=b"0" * 16)
         self.assertEqual(runs(answer), 0)
-        self.assertEqual(verdicts(answer), [VerdictKind.NOT_RUN])
+        self.assertEqual(statuses(answer), [VerdictKind.NOT_RUN])
 
     def test_unknown_request_is_asked_for(self):
         """Fetching an unknown request is answered with no received parts."""
@@ -242,7 +242,7 @@
         after = agent.end(1, Answered(status=200, body=b"", seconds=0.1))
         self.assertEqual(runs(after), 1)
 
-    def test_refusal_at_once_and_growing(self):
+    def test_rejection_delay_grows(self):
         """A full queue rejects at once, with a growing retry delay."""
         agent = AgentHarness(queue_per_slot=1)
         waits = []
@@ -253,13 +253,13 @@
         self.assertEqual(len(waits), 59 - 6)
         self.assertGreater(sum(waits[-10:]), 2 * sum(waits[:10]))
 
-    def test_full_memory_refuses_new_work(self):
+    def test_full_memory_rejects_new_work(self):
         """New work is rejected when memory is full; stored outcomes stay."""
         agent = AgentHarness()
         agent.request(1)
         agent.end(1, Answered(status=200, body=b"k", seconds=0.1))
-        agent.holder.requests._kept_bytes = MAX_KEPT_BYTES
-        self.assertEqual(verdicts(agent.request(2)), [VerdictKind.NOT_RUN])
+        agent.owner.requests._kept_bytes = MAX_KEPT_BYTES
+        self.assertEqual(statuses(agent.request(2)), [VerdictKind.NOT_RUN])
         self.assertIsInstance(agent.request(1)[0].message, AnswerPart)
 
     def test_upload_gap_is_reported_once(self):
@@ -271,21 +271,21 @@
         self.assertLessEqual(len(replies), 6)
 
 
-class SteeringGuardTests(unittest.TestCase):
+class TokenCheckTests(unittest.TestCase):
     """A packet is accepted only for its own service and flow."""
 
     def test_token_of_another_flow(self):
         """A packet with another flow's token is dropped."""
         agent = AgentHarness()
         agent.request(1, flow=b"g" * 16)
-        self.assertEqual(agent.holder.dropped_by_reason["forged_token"], 1)
+        self.assertEqual(agent.owner.dropped_by_reason["forged_token"], 1)
 
     def test_token_of_another_service(self):
         """A packet that arrived at another service's address is dropped."""
         agent = AgentHarness()
         ping = Ping(flow=FLOW, token=agent.token, acked=1)
         self.assertEqual(agent.send(ping, service="logs"), [])
-        self.assertEqual(agent.holder.dropped_by_reason["foreign_service"], 1)
+        self.assertEqual(agent.owner.dropped_by_reason["foreign_service"], 1)
 
     def test_token_names_other_service(self):
         """A valid token of another service is rejected."""
@@ -320,26 +320,26 @@
 
 
 class LeavingTests(unittest.TestCase):
-    """A leaving target rejects new work and finishes the work it has."""
+    """A draining target rejects new work and finishes the work it has."""
 
     def test_no_new_work(self):
         """New flows and new requests are rejected at once."""
         agent = AgentHarness()
-        agent.holder.leave(now=agent.now)
+        agent.owner.leave(now=agent.now)
         opened = agent.send(Open(flow=b"n" * 16, padding=bytes(MIN_OPEN_BYTES)))
         self.assertNotIsInstance(opened[0], Reply)
-        self.assertEqual(verdicts(agent.request(1)), [VerdictKind.NOT_RUN])
+        self.assertEqual(statuses(agent.request(1)), [VerdictKind.NOT_RUN])
 
     def test_in_flight_finishes(self):
         """The agent doesn't finish while a request runs."""
         agent = AgentHarness()
         agent.request(1, time_left_ms=60_000)
-        agent.holder.leave(now=agent.now)
+        agent.owner.leave(now=agent.now)
         agent.tick(30.0)
-        self.assertFalse(agent.holder.is_finished(now=agent.now))
+        self.assertFalse(agent.owner.is_finished(now=agent.now))
         ended = agent.end(1, Answered(status=200, body=b"a", seconds=30.0))
         self.assertIsInstance(ended[0].message, AnswerPart)
-        self.assertTrue(agent.holder.is_finished(now=agent.now + 6))
+        self.assertTrue(agent.owner.is_finished(now=agent.now + 6))
 
     def test_upload_under_way_finishes(self):
         """An upload whose parts are still arriving is completed and run."""
@@ -348,41 +348,41 @@
         digest = blake2b(body, digest_size=16).digest()
         common = {"parts": 2, "digest": digest, "time_left_ms": 20_000}
         agent.request(1, part=0, body=body[:1100], **common)
-        agent.holder.leave(now=agent.now)
+        agent.owner.leave(now=agent.now)
         agent.tick(0.1)
-        self.assertFalse(agent.holder.is_finished(now=agent.now))
+        self.assertFalse(agent.owner.is_finished(now=agent.now))
         last = agent.request(1, part=1, body=body[1100:], **common)
         self.assertEqual(runs(last), 1)
 
-    def test_callers_that_are_gone(self):
-        """Flows of silent callers don't delay a leaving agent beyond the timeout."""
+    def test_silent_callers(self):
+        """Flows of silent callers don't delay a draining agent beyond the timeout."""
         agent = AgentHarness()
         agent.send(
             StreamOpen(
                 flow=FLOW, token=agent.token, request=1, acked=1, kind="map", after=0
             )
         )
-        agent.holder.leave(now=agent.now)
+        agent.owner.leave(now=agent.now)
         for _ in range(120):
             agent.tick(0.05)
-        self.assertTrue(agent.holder.is_finished(now=agent.now))
+        self.assertTrue(agent.owner.is_finished(now=agent.now))
 
     def test_two_timers_do_not_keep_a_flow(self):
         """A flow with two timers still expires."""
         agent = AgentHarness()
         agent.tick(4.5)
-        agent.holder.leave(now=agent.now)
+        agent.owner.leave(now=agent.now)
         agent.tick(0.7)
         agent.send(Ping(flow=FLOW, token=agent.token, acked=1))
         for _ in range(200):
             agent.tick(0.05)
-        self.assertEqual(agent.holder.flows, 0)
+        self.assertEqual(agent.owner.flows, 0)
 
-    def test_move_is_repeated(self):
+    def test_go_away_is_repeated(self):
         """The request to move is repeated, also by other balancers."""
         agent = AgentHarness()
         agent.send(Ping(flow=FLOW, token=agent.token, acked=1), via=("10.2.0.2", 9000))
-        asked = agent.holder.leave(now=agent.now)
+        asked = agent.owner.leave(now=agent.now)
         for _ in range(20):
             asked += agent.tick(0.1)
         moves = [
@@ -409,7 +409,7 @@
         agent = self._stream()
         agent.send(Ping(flow=FLOW, token=agent.token, acked=1), via=("10.2.0.2", 9000))
         key = RequestKey(FLOW, 1)
-        first = agent.holder.stream_item(key, 1, b"item", now=agent.now)
+        first = agent.owner.stream_item(key, 1, b"item", now=agent.now)
         again = agent.tick(0.3)
         self.assertEqual(first[0].message, again[0].message)
         self.assertNotEqual(first[0].via, again[0].via)
@@ -417,7 +417,7 @@
     def test_acknowledged_is_forgotten(self):
         """Acknowledged items aren't resent, and the reader gets credit."""
         agent = self._stream()
-        agent.holder.stream_item(RequestKey(FLOW, 1), 1, b"item", now=agent.now)
+        agent.owner.stream_item(RequestKey(FLOW, 1), 1, b"item", now=agent.now)
         credit = agent.send(StreamAck(flow=FLOW, token=agent.token, request=1, up_to=1))
         self.assertEqual(credit[0].items, 1)
         self.assertEqual(agent.tick(2.0), [])
@@ -426,12 +426,12 @@
         """A stream that is never acknowledged keeps one timer."""
         agent = self._stream()
         for number in range(1, 30):
-            agent.holder.stream_item(RequestKey(FLOW, 1), number, b"i", now=agent.now)
+            agent.owner.stream_item(RequestKey(FLOW, 1), number, b"i", now=agent.now)
             agent.tick(0.05)
-        self.assertLessEqual(len(agent.holder._timers), 3)
+        self.assertLessEqual(len(agent.owner._timers), 3)
 
 
-class TargetLifeTests(unittest.TestCase):
+class TargetLifecycleTests(unittest.TestCase):
     """The results of runs, not health checks, decide the target's state."""
 
     def _silent(self) -> AgentHarness:
@@ -444,33 +444,33 @@
             agent.end(number, TimedOut())
         return agent
 
-    def test_healthy_but_mute(self):
+    def test_healthy_but_unresponsive(self):
         """A healthy target that answers no requests takes no new flows."""
         agent = self._silent()
-        agent.holder.life = agent.holder.life.healthy(now=agent.now)
-        self.assertEqual(agent.holder.life.state, "unresponsive")
-        self.assertEqual(verdicts(agent.request(4)), [VerdictKind.NOT_RUN])
+        agent.owner.life = agent.owner.life.healthy(now=agent.now)
+        self.assertEqual(agent.owner.life.state, "unresponsive")
+        self.assertEqual(statuses(agent.request(4)), [VerdictKind.NOT_RUN])
         agent.tick(2.1)
         self.assertEqual(runs(agent.request(5)), 1)
         self.assertEqual(runs(agent.request(6)), 0)
         agent.end(5, Answered(status=200, body=b"", seconds=0.1))
-        self.assertTrue(agent.holder.life.takes_flows)
+        self.assertTrue(agent.owner.life.takes_flows)
 
-    def test_silent_target_is_tried_again_though_no_flow_is_left(self):
+    def test_unresponsive_target_without_flows_is_probed(self):
         """An unresponsive target takes flows again later, so that it is probed."""
         agent = self._silent()
         agent.send(Close(flow=FLOW, token=agent.token))
         open_again = Open(flow=b"n" * 16, padding=bytes(MIN_OPEN_BYTES))
         self.assertNotIsInstance(agent.send(open_again)[0], Reply)
         agent.tick(2.1)
-        report = agent.holder.load(now=agent.now)
+        report = agent.owner.load(now=agent.now)
         self.assertEqual(report.condition, Condition.SERVING)
         self.assertLess(report.age_ms, 100)
         self.assertIsInstance(agent.send(open_again)[0], Reply)
 
-    def test_trials_become_rare(self):
+    def test_probe_interval_doubles(self):
         """Each failed probe doubles the time to the next, up to a limit."""
-        life = TargetState().healthy(now=0.0)
+        life = TargetLifecycle().healthy(now=0.0)
         for _ in range(3):
             life = life.unanswered(now=0.0)
         waits, now = [], 0.0
@@ -480,7 +480,7 @@
             life = life.advance(now=now).unanswered(now=now)
         self.assertEqual(waits, [2.0, 4.0, 8.0, 16.0, 32.0, 60.0, 60.0])
 
-    def test_short_deadlines_are_no_evidence(self):
+    def test_short_deadlines_are_no_failures(self):
         """Timeouts of runs with short deadlines don't count as failures."""
         agent = AgentHarness()
         agent.request(1)
@@ -489,7 +489,7 @@
             agent.request(number, time_left_ms=150)
             agent.tick(0.16)
             agent.end(number, TimedOut())
-        self.assertEqual(agent.holder.life.state, "serving")
+        self.assertEqual(agent.owner.life.state, "serving")
 
     def test_queue_leaves_time_to_run(self):
         """A request that could start but not finish in time is rejected."""
@@ -499,20 +499,20 @@
         for number in (2, 3, 4):
             agent.request(number, time_left_ms=5000)
         self.assertEqual(
-            verdicts(agent.request(5, time_left_ms=350)), [VerdictKind.NOT_RUN]
+            statuses(agent.request(5, time_left_ms=350)), [VerdictKind.NOT_RUN]
         )
-        self.assertEqual(verdicts(agent.request(6, time_left_ms=5000)), [])
+        self.assertEqual(statuses(agent.request(6, time_left_ms=5000)), [])
 
     def test_shedding_ends(self):
         """A shedding target takes flows again after its retry delay."""
         agent = AgentHarness()
         agent.request(1)
         agent.end(1, Shed(retry_after=1.5))
-        self.assertFalse(agent.holder.life.takes_flows)
+        self.assertFalse(agent.owner.life.takes_flows)
         agent.tick(1.6)
-        self.assertTrue(agent.holder.life.takes_flows)
+        self.assertTrue(agent.owner.life.takes_flows)
 
-    def test_cancelled_runs_are_no_evidence(self):
+    def test_cancelled_runs_are_no_failures(self):
         """Cancelled runs don't count as failures."""
         from monsoonpier.agent.tokens.actions import Aborted
 
@@ -520,4 +520,4 @@
         for number in range(1, 6):
             agent.request(number)
             agent.end(number, Aborted())
-        self.assertEqual(agent.holder.life.state, "serving")
+        self.assertEqual(agent.owner.life.state, "serving")
--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -43,7 +43,7 @@
 
     @property
     def _state(self) -> str:
-        return self.agent._holder.life.state
+        return self.agent._owner.life.state
 
     async def test_healthy_does_not_make_it_allowed(self):
         """A healthy target that isn't allowed stays leaving."""
@@ -68,18 +68,18 @@
                 balancer="b1", version=1, known=True, allowed=True, evacuation=order
             )
             self.agent._handle_heartbeat_ack(ack)
-            life = self.agent._holder.life
+            life = self.agent._owner.life
             self.assertEqual(life.takes_flows, revision == 9)
             self.assertEqual(life.takes_requests, revision == 9)
             self.assertIs(
                 life.code, Condition.SERVING if revision == 9 else Condition.SHEDDING
             )
 
-    async def test_another_place_evacuated(self):
+    async def test_other_data_centre_evacuated(self):
         """An order for another data centre doesn't affect this target."""
         order = Evacuation(data_centre="dc-2", revision=5, is_active=True)
         ack = HeartbeatAck(
             balancer="b1", version=1, known=True, allowed=True, evacuation=order
         )
         self.agent._handle_heartbeat_ack(ack)
-        self.assertTrue(self.agent._holder.life.takes_flows)
+        self.assertTrue(self.agent._owner.life.takes_flows)
--- a/tests/caller/test_caller.py
+++ b/tests/caller/test_caller.py
@@ -1,9 +1,9 @@
-"""The caller's side: retries, flows that move, answers that are whole."""
+"""Tests of the callers' library: retries, flows, streams and transfers."""
 
 import unittest
 
-from monsoonpier.caller.retries import Final, Retry, RetryBudget, decide
-from monsoonpier.caller.session import FlowSession, MoveAsked, StreamEnded
+from monsoonpier.caller.retries import Final, Retry, RetryBudget, decide_retry
+from monsoonpier.caller.session import FlowSession, GoAwayReceived, StreamEnded
 from monsoonpier.caller.transfer import SILENT_RESENDS, Transfer
 from monsoonpier.model.outcome import (
     Cancelled,
@@ -35,51 +35,53 @@
 
 def session() -> FlowSession:
     """Return an open flow."""
-    made = FlowSession(flow=FLOW, now=0.0)
-    made.poll(now=0.0)
-    receive(made, Opened(flow=FLOW, token=TOKEN))
-    made.outbox.clear()
-    return made
+    flow = FlowSession(flow=FLOW, now=0.0)
+    flow.poll(now=0.0)
+    receive(flow, Opened(flow=FLOW, token=TOKEN))
+    flow.outbox.clear()
+    return flow
 
 
 def receive(to: FlowSession, message, *, now: float = 0.1) -> list:
-    """Give a datagram to a flow."""
+    """Pass a message to a flow; return its events."""
     return to.receive(reply_codec.encode(message), now=now)
 
 
 def sent(of: FlowSession) -> list:
-    """Take what a flow has sent."""
+    """Return the messages in a flow's outbox and empty it."""
     outbox, of.outbox = of.outbox, []
     return [caller_codec.decode(data) for data in outbox]
 
 
 class RetryTests(unittest.TestCase):
-    """What is tried again, and what never is."""
+    """Which outcomes are retried, and which are final."""
 
-    def _decide(self, outcome, *, idempotent: bool, left: float = 3.0, moves: int = 0):
-        return decide(
+    def _decide(
+        self, outcome, *, idempotent: bool, left: float = 3.0, free_retries: int = 0
+    ):
+        return decide_retry(
             outcome,
             idempotent=idempotent,
             budget=RetryBudget(left=left),
-            moves=moves,
+            free_retries=free_retries,
             time_left=5.0,
         )
 
     def test_table(self):
-        """Only work that did not run, or may run twice, is tried again."""
+        """Only requests that did not run, or are idempotent, are retried."""
         overloaded = NotRun(reason="overloaded", retry_after=0.5, reopen=True)
         leaving = NotRun(reason="leaving", retry_after=0.0, reopen=True)
         wrong = NotRun(reason="too large", retry_after=0.0)
         table = (
             (Done(status=200, body=b""), True, Final()),
-            (overloaded, False, Retry(wait=0.5, is_charged=True)),
-            (leaving, False, Retry(wait=0.0, is_charged=False)),
+            (overloaded, False, Retry(wait=0.5, uses_budget=True)),
+            (leaving, False, Retry(wait=0.0, uses_budget=False)),
             (wrong, True, Final()),
             (Refused(reason="x", retry_after=9.0), True, Final()),
             (FlowLost(), False, Final()),
-            (FlowLost(), True, Retry(wait=0.0, is_charged=True)),
+            (FlowLost(), True, Retry(wait=0.0, uses_budget=True)),
             (Unknown(reason="x"), False, Final()),
-            (Unknown(reason="x"), True, Retry(wait=0.0, is_charged=True)),
+            (Unknown(reason="x"), True, Retry(wait=0.0, uses_budget=True)),
             (Late(), False, Final()),
             (Cancelled(), True, Final()),
         )
@@ -89,13 +91,13 @@
                 self.assertEqual(decided, expected)
 
     def test_budget_runs_out(self):
-        """Without budget nothing is charged, but a leaving target is left."""
+        """Without budget only rejections by a leaving target are retried."""
         overloaded = NotRun(reason="overloaded", retry_after=0.5, reopen=True)
         leaving = NotRun(reason="leaving", retry_after=0.0, reopen=True)
         self.assertEqual(self._decide(overloaded, idempotent=True, left=0.9), Final())
         decided = self._decide(leaving, idempotent=False, left=0.0)
-        self.assertEqual(decided, Retry(wait=0.0, is_charged=False))
-        decided = self._decide(leaving, idempotent=False, left=0.0, moves=3)
+        self.assertEqual(decided, Retry(wait=0.0, uses_budget=False))
+        decided = self._decide(leaving, idempotent=False, left=0.0, free_retries=3)
         self.assertEqual(decided, Final())
 
     def test_budget_is_a_share_of_successes(self):
@@ -112,8 +114,8 @@
 class SessionTests(unittest.TestCase):
     """One flow."""
 
-    def test_second_holder_is_closed(self):
-        """Of two holders that took one OPEN the second is told to close."""
+    def test_second_owner_is_closed(self):
+        """If two agents open one flow, the flow is closed at the second."""
         flow = session()
         receive(flow, Opened(flow=FLOW, token=b"u" * 40))
         self.assertEqual(flow.token, TOKEN)
@@ -128,7 +130,7 @@
         self.assertEqual(flow.dropped, 3)
 
     def test_late_part_of_a_cancelled_request(self):
-        """An answer's part after the request was done with changes nothing."""
+        """An answer part that arrives after the request ended is ignored."""
         flow = session()
         number = flow.request("reading", b"x", deadline=1.0, now=0.1)
         flow.cancel(number, now=0.2)
@@ -146,7 +148,7 @@
         self.assertEqual(receive(flow, part), [])
 
     def test_lost_flow_ends_everything(self):
-        """The end of the holder ends requests as lost and streams to resume."""
+        """A lost flow ends its requests as lost and its streams as resumable."""
         flow = session()
         flow.request("reading", b"x", deadline=1.0, now=0.1)
         flow.open_stream("map", after=4, now=0.1)
@@ -156,8 +158,8 @@
             events[1], StreamEnded(request=2, reason="flow lost", reopen=True)
         )
 
-    def test_items_in_order_whatever_comes(self):
-        """Items that are crossed, doubled or early are given in order, once."""
+    def test_reordered_items_are_delivered_in_order(self):
+        """Reordered and duplicated items are delivered once and in order."""
         flow = session()
         number = flow.open_stream("map", after=0, now=0.1)
         taken: list[int] = []
@@ -170,7 +172,7 @@
         self.assertEqual(taken, [1, 2, 3, 4])
 
     def test_end_waits_for_its_last_item(self):
-        """A stream's end that overtakes items is held until they have come."""
+        """A stream's end that arrives early waits for the items before it."""
         flow = session()
         number = flow.open_stream("map", after=0, now=0.1)
         end = StreamEnd(flow=FLOW, request=number, last=1, reason="ended")
@@ -178,15 +180,15 @@
         item = Item(flow=FLOW, request=number, previous=0, number=1, body=b"i")
         self.assertIsInstance(receive(flow, item)[-1], StreamEnded)
 
-    def test_move_is_told_once(self):
-        """A repeated MOVE is one event, and the flow takes no new work."""
+    def test_go_away_is_reported_once(self):
+        """A repeated GOAWAY causes one event, and the flow takes no new work."""
         flow = session()
-        self.assertEqual(receive(flow, Move(flow=FLOW)), [MoveAsked()])
+        self.assertEqual(receive(flow, Move(flow=FLOW)), [GoAwayReceived()])
         self.assertEqual(receive(flow, Move(flow=FLOW)), [])
         self.assertFalse(flow.takes_work)
 
-    def test_move_right_after_opened(self):
-        """A flow whose holder leaves at once is open but takes no work."""
+    def test_go_away_right_after_opened(self):
+        """A flow whose owner leaves at once is open but takes no work."""
         rig = Rig(agents=1)
         flow = rig.open()
         rig.run(0.01)
@@ -197,7 +199,7 @@
 
 
 class TransferTests(unittest.TestCase):
-    """One request's datagrams."""
+    """One request and its answer."""
 
     def _transfer(self, size: int) -> Transfer:
         return Transfer(
@@ -210,23 +212,23 @@
             now=0.0,
         )
 
-    def test_gaps_do_not_storm(self):
-        """Parts that only overtook each other aren't sent again at once."""
+    def test_reordered_parts_are_not_resent(self):
+        """Reordered parts aren't resent at once; overdue ones are."""
         transfer = self._transfer(100_000)
         transfer.start(acked=1, now=0.0)
-        again = 0
+        resent = 0
         for missing in range(1, 20):
             gap = Progress(
                 flow=FLOW, request=1, have_below=0, missing=tuple(range(missing))
             )
-            parts = transfer.progress(gap, acked=1, now=0.005)
-            again += sum(isinstance(part, RequestPart) for part in parts)
-        self.assertEqual(again, 0)
+            parts = transfer.handle_progress(gap, acked=1, now=0.005)
+            resent += sum(isinstance(part, RequestPart) for part in parts)
+        self.assertEqual(resent, 0)
         gap = Progress(flow=FLOW, request=1, have_below=0, missing=(0, 1))
-        self.assertEqual(len(transfer.progress(gap, acked=1, now=0.1)), 2)
+        self.assertEqual(len(transfer.handle_progress(gap, acked=1, now=0.1)), 2)
 
-    def test_silent_holder(self):
-        """A holder that answers nothing for several resends is lost."""
+    def test_silent_owner(self):
+        """Several unanswered resends end the request as lost."""
         transfer = self._transfer(10)
         transfer.start(acked=1, now=0.0)
         now = 0.0
@@ -236,7 +238,7 @@
         self.assertIsInstance(transfer.outcome, FlowLost)
 
     def test_wrong_digest_of_answer(self):
-        """An answer that doesn't match its digest isn't given out."""
+        """An answer that doesn't match its digest isn't returned."""
         transfer = self._transfer(10)
         part = AnswerPart(
             flow=FLOW,
@@ -247,11 +249,11 @@
             digest=b"0" * 16,
             body=b"x",
         )
-        transfer.answer(part, acked=1, now=0.1)
+        transfer.handle_answer_part(part, acked=1, now=0.1)
         self.assertIsInstance(transfer.outcome, Unknown)
 
     def test_parts_of_another_answer(self):
-        """Parts that don't belong together are never joined."""
+        """Parts of different answers are never joined."""
         transfer = self._transfer(10)
         for number, digest in ((0, b"a" * 16), (1, b"b" * 16)):
             part = AnswerPart(
@@ -263,6 +265,6 @@
                 digest=digest,
                 body=b"x",
             )
-            transfer.answer(part, acked=1, now=0.1)
+            transfer.handle_answer_part(part, acked=1, now=0.1)
         self.assertIsNone(transfer.outcome)
-        self.assertEqual(transfer.foreign_parts, 1)
+        self.assertEqual(transfer.mismatched_parts, 1)
