--- a/monsoonpier/agent/tokens/condition.py
+++ b/monsoonpier/agent/tokens/condition.py
@@ -24,7 +24,7 @@
 EVACUATED = "data centre evacuated"
 MIN_RETRY_SECONDS = 0.05
 UNDATED_RETRY_SECONDS = 1.0  # if it is not known when the state ends
-_CODES_BY_STATE = {
+_CONDITIONS_BY_STATE = {
     "starting": Condition.STARTING,
     "serving": Condition.SERVING,
     "shedding": Condition.SHEDDING,
@@ -52,12 +52,12 @@
     is_evacuated: bool = False
 
     @property
-    def code(self) -> Condition:
+    def condition(self) -> Condition:
         """The condition that load reports carry."""
-        code = _CODES_BY_STATE[self.state]
-        if self.is_evacuated and code is Condition.SERVING:
+        condition = _CONDITIONS_BY_STATE[self.state]
+        if self.is_evacuated and condition is Condition.SERVING:
             return Condition.SHEDDING
-        return code
+        return condition
 
     @property
     def label(self) -> str:
@@ -67,25 +67,25 @@
     @property
     def takes_flows(self) -> bool:
         """Whether new flows are accepted."""
-        return self._has("takes_flows") and not self.is_evacuated
+        return self._has_trait("takes_flows") and not self.is_evacuated
 
     @property
     def takes_requests(self) -> bool:
         """Whether new requests on established flows are accepted."""
-        return self._has("takes_requests") and not self.is_evacuated
+        return self._has_trait("takes_requests") and not self.is_evacuated
 
-    def _has(self, trait: str) -> bool:
+    def _has_trait(self, trait: str) -> bool:
         return load_chart("target").has(self.state, trait)
 
     @property
     def one_at_a_time(self) -> bool:
         """Whether only one request at a time may run, as a probe."""
-        return self._has("one_at_a_time")
+        return self._has_trait("one_at_a_time")
 
     @property
     def is_leaving(self) -> bool:
         """Whether the target is leaving or gone."""
-        return self.code >= Condition.LEAVING
+        return self.condition >= Condition.LEAVING
 
     def retry_after(self, *, now: float) -> float:
         """Return the seconds after which callers may retry."""
--- a/monsoonpier/agent/tokens/holder.py
+++ b/monsoonpier/agent/tokens/holder.py
@@ -42,10 +42,10 @@
 
 UNUSED_FLOW_SECONDS = 10.0  # expiry of a flow without packets after its OPEN
 IDLE_FLOW_SECONDS = 60.0
-MIN_EXPIRY_SECONDS = 1.0
-MOVE_EVERY_SECONDS = 0.5
+MIN_EXPIRY_SECONDS = 1.0  # extension for an expired flow with work in flight
+MOVE_EVERY_SECONDS = 0.5  # between two requests to move
 LINGER_SECONDS = 5.0  # how long a draining agent waits for silent callers
-RETURN_RETRY_MS = 1_000
+RETURN_RETRY_MS = 1_000  # retry delay of a rejected OPEN
 
 
 class Holder:
@@ -106,7 +106,7 @@
             flows=len(self._flows_by_id),
             service_ms=int(self._requests.service_seconds * 1000),
             age_ms=self.life.age_ms(now=now),
-            condition=self.life.code,
+            condition=self.life.condition,
         )
 
     def is_finished(self, *, now: float) -> bool:
@@ -371,6 +371,7 @@
         return actions
 
     def _end_flow(self, flow: Flow) -> list[Action]:
+        """Remove a flow and abort its requests and streams."""
         del self._flows_by_id[flow.id]
         return self._requests.discard_flow(flow) + self._streams.discard_flow(flow)
 
@@ -384,6 +385,7 @@
         heapq.heappush(self._timers, (when, flow_id, number))
 
     def _replies(self, flow: Flow, messages: Iterable) -> list[Action]:
+        """Return actions that send messages by the flow's latest balancer."""
         via = flow.vias[0]
         return [
             Reply(via=via, ip=flow.ip, port=flow.port, message=message)
--- a/monsoonpier/agent/tokens/process.py
+++ b/monsoonpier/agent/tokens/process.py
@@ -141,7 +141,7 @@
         await self._life.wait_for_leaving()
         self._shutdown_requested = True
         self._execute(self._owner.leave(now=_now()))
-        self._link.announce(self._owner.life.code)
+        self._link.announce(self._owner.life.condition)
         while not self._owner.is_finished(now=_now()):
             await asyncio.sleep(TICK_SECONDS)
         for _ in range(GONE_ANNOUNCEMENTS):
@@ -210,7 +210,7 @@
         self._send(frame, reply.via)
 
     def _return_open(self, action: Return) -> None:
-        """Return an OPEN to its balancer, which attempts another target."""
+        """Return an OPEN to its balancer, which can attempt another target."""
         frame = Bounce(
             service=self._settings.target.service,
             ip=action.ip,
@@ -273,7 +273,7 @@
         label = self._owner.life.label
         if label != previous:
             _log.info("target state changed", before=previous, after=label)
-            self._link.announce(self._owner.life.code)
+            self._link.announce(self._owner.life.condition)
 
     # Balancers
 
--- a/monsoonpier/agent/tokens/runner.py
+++ b/monsoonpier/agent/tokens/runner.py
@@ -121,6 +121,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _run(self, run: Run) -> None:
+        """Execute a run at the target and report its result."""
         result: RunResult
         try:
             request_id = f"{run.key.flow.hex()}-{run.key.request}"
@@ -140,6 +141,7 @@
         self._on_event(RunEnded(key=run.key, result=result))
 
     async def _stream(self, start: StartStream) -> None:
+        """Read a stream from the target and report its items and its end."""
         credit = self._credit_by_key[start.key]
         try:
             async for item in self._client.stream(start):
--- a/monsoonpier/agent/tokens/target_client.py
+++ b/monsoonpier/agent/tokens/target_client.py
@@ -139,6 +139,7 @@
 
 
 def _retry_after(response: aiohttp.ClientResponse) -> float:
+    """Return the delay of a 503's Retry-After header in seconds."""
     try:
         seconds = float(response.headers.get("Retry-After", DEFAULT_SHED_SECONDS))
     except ValueError:
@@ -147,6 +148,7 @@
 
 
 def _parse_item(line: bytes) -> StreamItem | None:
+    """Return the item on a line, or ``None`` if the line is malformed."""
     try:
         content = json.loads(line)
         return StreamItem(number=int(content["n"]), body=content["data"].encode())
--- a/monsoonpier/caller/client.py
+++ b/monsoonpier/caller/client.py
@@ -160,6 +160,7 @@
     async def _request_once(
         self, kind: str, body: bytes, *, deadline_at: float
     ) -> Outcome:
+        """Send a request on one flow, without retries, and return its outcome."""
         try:
             async with asyncio.timeout_at(_loop_time(deadline_at)):
                 session = await self._open_session()
--- a/monsoonpier/caller/session.py
+++ b/monsoonpier/caller/session.py
@@ -252,6 +252,7 @@
         return []
 
     def _ping(self, *, now: float) -> None:
+        """Ping the owner of an idle flow; ping faster while it doesn't reply."""
         self._send(Ping(flow=self.flow, token=self.token, acked=self.acked))
         self._unanswered_pings += 1
         is_first = self._unanswered_pings == 1
@@ -341,6 +342,7 @@
         return []
 
     def _handle_request_message(self, message, *, now: float) -> list:
+        """Pass a message to its request; return the request's end, if any."""
         transfer = self._transfers_by_request.get(message.request)
         if transfer is None:
             # The request has ended, or was cancelled.
@@ -393,6 +395,7 @@
         return events + self._finish_stream(message.request)
 
     def _handle_stream_end(self, message: StreamEnd, *, now: float) -> list:
+        """Store a stream's end until the items before it have arrived."""
         stream = self._streams_by_request.get(message.request)
         if stream is None:
             self.dropped += 1
--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -72,7 +72,8 @@
             self.assertEqual(life.takes_flows, revision == 9)
             self.assertEqual(life.takes_requests, revision == 9)
             self.assertIs(
-                life.code, Condition.SERVING if revision == 9 else Condition.SHEDDING
+                life.condition,
+                Condition.SERVING if revision == 9 else Condition.SHEDDING,
             )
 
     async def test_other_data_centre_evacuated(self):
