--- a/monsoonpier/platform/__init__.py
+++ b/monsoonpier/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: it translates, and decides nothing."""
+"""The adapter to the users' platform: translates formats, makes no decisions."""
--- a/monsoonpier/platform/__main__.py
+++ b/monsoonpier/platform/__main__.py
@@ -6,11 +6,11 @@
 
 
 def _run() -> int:
-    # Settings may change, with SIGHUP, while a process is starting; until its own
-    # handler stands the signal would end it.
+    # SIGHUP reports changed settings. Its default action would end the process
+    # before the process installs its own handler.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # Imports make many objects and little garbage: looking for it took 22 ms of the
-    # 250 ms of processor time that an agent's imports need (process_time, 21 starts).
+    # Imports create many objects but little garbage, so collection only slows the
+    # start. The daemon enables it again.
     gc.disable()
     from monsoonpier.platform.daemons import main
 
--- a/monsoonpier/platform/configuration.py
+++ b/monsoonpier/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as the platform's store holds it."""
+"""Decoding of the operator's configuration in the platform's store."""
 
 import zlib
 from typing import Annotated
@@ -14,7 +14,7 @@
 
 
 class _Route(msgspec.Struct, frozen=True, kw_only=True):
-    """A route: ``host`` is an IP number, ``prefix`` a port between slashes."""
+    """A route: ``host`` is an IP address, ``prefix`` a port between slashes."""
 
     name: str = ""
     host: str
@@ -42,18 +42,18 @@
     limits: _Limits = _Limits()
 
 
-_decode = msgspec.json.Decoder(_Stored).decode
+_decode_json = msgspec.json.Decoder(_Stored).decode
 
 
-def _configuration(value: bytes) -> Configuration:
+def _decode_configuration(value: bytes) -> Configuration:
     try:
-        stored = _decode(value)
+        stored = _decode_json(value)
         services = [service.name for service in stored.services]
-        shares = [_shares(route, declared=services) for route in stored.routes]
+        shares = [_route_shares(route, declared=services) for route in stored.routes]
         pairs = zip(stored.routes, shares, strict=True)
         routes = {_address(route): _route(route, shared) for route, shared in pairs}
     except (msgspec.MsgspecError, ValueError) as error:
-        raise ValueError(f"not a configuration of the operator: {error}") from error
+        raise ValueError(f"invalid operator configuration: {error}") from error
     limits = {s.name: s.cold_per_s for s in stored.services if s.cold_per_s}
     return Configuration(
         version=stored.version,
@@ -67,7 +67,7 @@
     return Address.parse(f"{route.host}:{route.prefix.strip('/')}")
 
 
-def _shares(route: _Route, *, declared: list[str]) -> RouteShares:
+def _route_shares(route: _Route, *, declared: list[str]) -> RouteShares:
     title = route.name or str(_address(route))
     return read_shares(
         route.backends, route=title, service=route.service, declared=declared
@@ -84,9 +84,9 @@
     )
 
 
-def _pack(value: bytes, service: str) -> bytes:
-    """Return the value compressed; agents of this path don't ask for it."""
+def _compress(value: bytes, service: str) -> bytes:
+    """Return the value compressed; ``service`` is not used on this path."""
     return zlib.compress(value)
 
 
-PLATFORM_FORMAT = ConfigurationFormat(decode=_configuration, pack=_pack)
+PLATFORM_FORMAT = ConfigurationFormat(decode=_decode_configuration, pack=_compress)
--- a/monsoonpier/platform/daemons.py
+++ b/monsoonpier/platform/daemons.py
@@ -1,4 +1,4 @@
-"""The daemons on the platform: a process for each role."""
+"""The balancer and agent processes on the platform."""
 
 import asyncio
 import gc
@@ -23,7 +23,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the process of the role that the command line names."""
+    """Run the process for the role on the command line; return its exit status."""
     runs_by_role = {"balancer": _run_balancer, "agent": _run_agent}
     role = arguments[0] if arguments else ""
     if len(arguments) != 1 or role not in runs_by_role:
@@ -35,14 +35,14 @@
         print(f"monsoonpier: {error}", file=sys.stderr)
         return Exit.BAD_INPUT
     common = settings.common
-    gc.freeze()  # What was imported lives as long as the process.
-    gc.enable()  # The entry point imports this module without it.
+    gc.freeze()  # Imported objects live as long as the process.
+    gc.enable()  # The entry point disabled it during imports.
     configure_logs(level="info", descriptor=STDOUT, process=common.name, role=role)
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(runs_by_role[role](settings))
     except OSError as error:
-        _log.error("not started", reason=str(error))
+        _log.error("startup failed", reason=str(error))
         return Exit.UNAVAILABLE
     return Exit.OK
 
@@ -61,10 +61,10 @@
     ready = HttpServer(address=settings.ready, handler=_ready_handler(process))
     await ready.start()
     if settings.heartbeats is not None:
-        # Served only so that the settings name other balancers as seeds. A
-        # target that calls here is told to turn to its own agent.
-        refusing = HttpServer(address=settings.heartbeats, handler=_refuse)
-        await refusing.start()
+        # The settings name this address as a seed. Targets must send heartbeats to
+        # their own agent, so calls here are rejected.
+        rejecting = HttpServer(address=settings.heartbeats, handler=_reject)
+        await rejecting.start()
     await process.run()
 
 
@@ -85,19 +85,19 @@
     await ready.start()
     assert settings.common.target
     service = settings.common.target.service
-    calls = TargetCalls(service=service, take=process.take)
-    await HttpServer(address=settings.heartbeats, handler=calls.answer).start()
+    calls = TargetCalls(service=service, handler=process.take)
+    await HttpServer(address=settings.heartbeats, handler=calls.handle).start()
     await process.run()
 
 
 def _ready_handler(process):
-    def answer(request: Request) -> Response:
+    def handle(request: Request) -> Response:
         if request.path != _READY:
             return Response(status=404)
         return ready_response(is_ready=process.is_ready)
 
-    return answer
+    return handle
 
 
-def _refuse(request: Request) -> Response:
+def _reject(request: Request) -> Response:
     return Response(status=503)
--- a/monsoonpier/platform/settings.py
+++ b/monsoonpier/platform/settings.py
@@ -1,4 +1,4 @@
-"""A process's settings as the platform writes them, decoded into `Settings`."""
+"""Loading of the platform's settings file into `Settings`."""
 
 import os
 import tomllib
@@ -19,8 +19,8 @@
 KEY_VARIABLE = "FRAME_KEY"
 RESERVE_VARIABLE = "RESERVE_SLOTS"
 KEY_BYTES = 32
-CONTROL_OFFSET = 1  # after the first internal port, which takes frames
-METRICS_PORT = 9464  # Prometheus exporters' usual one; also in deploy/system.toml
+CONTROL_OFFSET = 1  # from the first internal port, which receives frames
+METRICS_PORT = 9464  # must agree with deploy/system.toml
 
 
 class _Listen(msgspec.Struct, frozen=True, kw_only=True):
@@ -30,45 +30,45 @@
     outbound: str | None = None
 
 
-class _StorePlace(msgspec.Struct, frozen=True, kw_only=True):
+class _StoreSettings(msgspec.Struct, frozen=True, kw_only=True):
     address: str
 
 
 class _Limits(msgspec.Struct, frozen=True, kw_only=True):
-    """Of the machine and of each process; only the link's rate is used."""
+    """Limits of the machine and its processes; only the link's rate is used."""
 
     link_mbps: Annotated[float, msgspec.Meta(gt=0)] | None = None
 
 
 class _File(msgspec.Struct, frozen=True, kw_only=True):
-    """The fields that are used; unknown ones are ignored."""
+    """The settings file; unknown fields are ignored."""
 
     node_name: str
     ip: str
     zone: str
     internal_ports: tuple[int, int]
     listen: _Listen
-    platform: _StorePlace
+    platform: _StoreSettings
     limits: _Limits = _Limits()
     seeds: tuple[str, ...] = ()
-    zones: Mapping[str, str] = {}  # to their regions
+    zones: Mapping[str, str] = {}  # region by zone
     app: str | None = None
     service: str | None = None
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlatformSettings:
-    """The product's settings, and the addresses that only this path has.
+    """The common settings, and addresses that are specific to the platform.
 
     Attributes:
-        common: What every process of the product knows.
-        ready: Where readiness is probed.
-        packets: Where callers' packets arrive; its port is also the callers'.
-        store: Where the platform's store is.
-        heartbeats: Where the target announces itself, or on entry VMs nothing
-            that a target should ever call.
-        from_target: Where the target sends its packets; agents only.
-        target: Where the target takes packets; agents only.
+        common: The settings that all kinds of deployment have.
+        ready: Address of the readiness probe.
+        packets: Address that receives callers' packets; callers use the same port.
+        store: Address of the platform's store.
+        heartbeats: Address that receives the target's heartbeats. On entry VMs it
+            rejects every call.
+        from_target: Address that receives the target's packets; agents only.
+        target: Address at which the target receives packets; agents only.
     """
 
     common: Settings
@@ -86,11 +86,12 @@
     """Read and check the settings file that the environment names.
 
     Raises:
-        ValueError: If it can't be read or lacks something; says what and where.
+        ValueError: If the file is unreadable or invalid; lists each problem with
+            its place.
     """
     path = environment.get(SETTINGS_VARIABLE)
     if not path:
-        raise ValueError(f"{SETTINGS_VARIABLE} names no settings file")
+        raise ValueError(f"{SETTINGS_VARIABLE} is not set in the environment")
     try:
         text = Path(path).read_text(encoding="utf-8")
         content = tomllib.loads(text)
@@ -98,19 +99,19 @@
         raise ValueError(f"{path}: {error}") from error
     try:
         file = msgspec.convert(content, _File)
-        return _settings(
+        return _build_settings(
             file,
             role=role,
-            keys=_keys(environment),
+            keys=_load_keys(environment),
             reserve_slots=_is_on(environment, RESERVE_VARIABLE),
         )
     except (ValueError, msgspec.ValidationError) as error:
-        raise ValueError(_report(content, text, path, role, error)) from error
+        raise ValueError(_explain(content, text, path, role, error)) from error
 
 
-def _report(content: dict, text: str, path: str, role: str, error: Exception) -> str:
-    """Return all findings, one a line; the error itself if there are none."""
-    # Imported when needed: a process that starts well does without.
+def _explain(content: dict, text: str, path: str, role: str, error: Exception) -> str:
+    """Return all findings, one a line, or the error itself if there are none."""
+    # Imported here because only invalid settings need these modules.
     from monsoonpier.model.findings import report
     from monsoonpier.platform.settings_check import check_fields
 
@@ -118,7 +119,7 @@
     return report(tuple(findings)) if findings else f"{path}: {error}"
 
 
-def _settings(
+def _build_settings(
     file: _File, *, role: str, keys: KeyRing, reserve_slots: bool
 ) -> PlatformSettings:
     first_port = file.internal_ports[0]
@@ -138,8 +139,8 @@
         internal=internal,
         control=Address(ip=file.ip, port=first_port + CONTROL_OFFSET),
         metrics=Address(ip=file.ip, port=METRICS_PORT),
-        # A seed is where targets would announce themselves; its process takes
-        # frames at the internal port, which is the same on all machines.
+        # Seeds are heartbeat addresses. Their processes receive frames at the first
+        # internal port, which is the same on all machines.
         seeds=tuple(
             Address(ip=Address.parse(seed).ip, port=first_port) for seed in file.seeds
         ),
@@ -152,13 +153,13 @@
         ready=Address.parse(file.listen.ready),
         packets=Address.parse(file.listen.datagram_addr),
         store=Address.parse(file.platform.address),
-        heartbeats=_optional(file.listen.control),
-        from_target=_optional(file.listen.outbound),
-        target=_optional(file.app),
+        heartbeats=_parse_optional(file.listen.control),
+        from_target=_parse_optional(file.listen.outbound),
+        target=_parse_optional(file.app),
     )
 
 
-def _optional(text: str | None) -> Address | None:
+def _parse_optional(text: str | None) -> Address | None:
     return Address.parse(text) if text else None
 
 
@@ -172,7 +173,7 @@
             raise ValueError(f"{variable} must be on or off, not {other!r}")
 
 
-def _keys(environment: Mapping[str, str]) -> KeyRing:
+def _load_keys(environment: Mapping[str, str]) -> KeyRing:
     try:
         secret = bytes.fromhex(environment.get(KEY_VARIABLE, ""))
     except ValueError as error:
--- a/monsoonpier/platform/settings_check.py
+++ b/monsoonpier/platform/settings_check.py
@@ -1,4 +1,4 @@
-"""All that is wrong with a settings file, looked for once it can't be used."""
+"""Findings for a settings file that could not be loaded."""
 
 import msgspec
 
@@ -15,14 +15,14 @@
 def check_fields(
     content: dict, kind: type[msgspec.Struct], *, text: str, file: str, role: str
 ) -> list[Finding]:
-    """Return what is wrong with the fields of a decoded settings file.
+    """Return all problems with the fields of a decoded settings file.
 
     Args:
         content: The file's tables.
-        kind: The struct that they should become.
-        text: The file's text, in which places are looked up.
-        file: Its path.
-        role: ``agent`` needs more than ``balancer``.
+        kind: The struct type that the tables should convert to.
+        text: The file's text, to find line numbers.
+        file: The file's path.
+        role: The process's role; ``agent`` requires more fields.
     """
     findings = check_table(content, kind, text=text, file=file)
     values_by_name = dict(content)
--- a/monsoonpier/platform/store.py
+++ b/monsoonpier/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as an implementation of `Store`."""
+"""A client of the platform's metadata store."""
 
 import base64
 import random
@@ -27,21 +27,22 @@
     WatchEvent,
 )
 from monsoonpier.store.keys import CONFIGURATION, EVACUATIONS
-from monsoonpier.store.long_poll import PollResult, watch_by_polling
+from monsoonpier.store.long_poll import PollResult, long_poll
 from monsoonpier.store.paging import Page, read_pages
 
 __all__ = ["PlatformStore"]
 
-CALL_SECONDS = 2.0  # 500 times an answer of the store when it is well
-# A watch whose answer was lost hangs without a word; a configuration must be in force
-# 3 s after that. At the size aimed at twelve balancers watch: 6 calls a second.
+CALL_SECONDS = 2.0  # timeout of one call
+# Longest wait of one watch call. If its response is lost, the watch misses changes
+# for this long; a new configuration must be in force within 3 s.
 WATCH_SECONDS = 2.0
-WATCH_SLACK_SECONDS = 0.75  # three times the answer of a store 60 times slower
+WATCH_SLACK_SECONDS = 0.75  # for the response after WATCH_SECONDS
 _PATH = "/monsoonpier/"
-_GENERATION_HEADER = "store-era"  # in all answers; it rises at each return from a copy
-_OPERATORS_PREFIX = "op/"  # what the operator writes
+# Sent in all responses; increases at each restore from a backup.
+_GENERATION_HEADER = "store-era"
+_OPERATORS_PREFIX = "op/"  # keys that the operator writes
 _OPERATORS_KEY = _OPERATORS_PREFIX + "config"
-_EVACUATED_PREFIX = _OPERATORS_PREFIX + "evacuate/"  # then a data centre's name
+_EVACUATED_PREFIX = _OPERATORS_PREFIX + "evacuate/"  # followed by a data centre's name
 _log = structlog.get_logger("monsoonpier.platform.store")
 
 
@@ -53,13 +54,13 @@
     deleted: bool = False
 
 
-class _Found(msgspec.Struct, frozen=True, kw_only=True):
+class _RangeResult(msgspec.Struct, frozen=True, kw_only=True):
     items: list[_Item]
     current_rev: int
     truncated: bool = False
 
 
-class _Watched(msgspec.Struct, frozen=True, kw_only=True):
+class _Changes(msgspec.Struct, frozen=True, kw_only=True):
     events: list[_Item]
     current_rev: int
 
@@ -68,16 +69,16 @@
     revision: int
 
 
-class _Granted(msgspec.Struct, frozen=True, kw_only=True):
+class _LeaseGranted(msgspec.Struct, frozen=True, kw_only=True):
     lease: int
 
 
-class _Kept(msgspec.Struct, frozen=True, kw_only=True):
+class _LeaseRenewed(msgspec.Struct, frozen=True, kw_only=True):
     ttl_ms: int
 
 
 class PlatformStore:
-    """Speaks the store's HTTP calls; keys are translated at this boundary."""
+    """A `Store` over the platform's HTTP calls; translates keys both ways."""
 
     def __init__(self, *, address: Address, draw: random.Random) -> None:
         self._client = HttpClient(address=address)
@@ -85,25 +86,25 @@
         self._generations = GenerationTracker(name=_GENERATION_HEADER)
         self.calls = 0
         self.call_seconds = Histogram(
-            name="store_call_seconds", help="Calls to the store, watches too."
+            name="store_call_seconds", help="Seconds per store call, watches included."
         )
 
     @property
     def generation(self) -> int:
-        """The newest generation that an answer told of; 0 before the first one."""
+        """The newest generation seen in a response; 0 before the first one."""
         return self._generations.newest
 
     async def read(
         self, key: str, *, prefix: bool = False, may_be_old: bool = False
     ) -> Snapshot:
-        """Return the key, or all keys that begin with it."""
-        wanted = _outer(key, prefix=prefix)
+        """Return the key, or all keys with that prefix."""
+        wanted = _platform_key(key, prefix=prefix)
 
         async def read_page(after: str) -> Page:
             query = {"prefix": wanted} | ({"after": after} if after else {})
             query |= {"allow_stale": 1} if may_be_old else {}
             response = await self._get("kv-range", query)
-            found = _parse(response, _Found)
+            found = _parse(response, _RangeResult)
             revision = self._revision(response, found.current_rev)
             items = [i for i in found.items if prefix or i.key == wanted]
             values = [_key_value(i, generation=revision.generation) for i in items]
@@ -124,63 +125,63 @@
         removes: tuple[str, ...] = (),
     ) -> TransactionResult:
         """Write ``puts`` and delete ``removes`` if all of ``compares`` hold."""
-        if outdated := self._generations.stale_keys(compares):
-            _log.info("condition of an earlier generation", keys=outdated)
+        if stale_keys := self._generations.stale_keys(compares):
+            _log.info("stale condition rejected", keys=stale_keys)
             ended = Revision(generation=self.generation)
             return TransactionResult(succeeded=False, revision=ended)
         body = {
             "expect": [
-                {"key": _outer(c.key), "revision": c.mod_revision.number}
+                {"key": _platform_key(c.key), "revision": c.mod_revision.number}
                 for c in compares
             ],
             "puts": [
                 {
-                    "key": _outer(put.key),
+                    "key": _platform_key(put.key),
                     "value": base64.b64encode(put.value).decode(),
                     "lease": put.lease,
                 }
                 for put in puts
             ],
-            "remove": [_outer(key) for key in removes],
+            "remove": [_platform_key(key) for key in removes],
         }
         response = await self._post("kv-txn", body)
         if response.status == 412:
             revision = self._revision(response)
             return TransactionResult(succeeded=False, revision=revision)
         if response.status == 404:
-            raise LeaseNotFoundError("the lease has ended")
-        written = _parse(_checked(response, "kv-txn"), _Written)
+            raise LeaseNotFoundError("the lease has expired or was revoked")
+        written = _parse(_require_ok(response, "kv-txn"), _Written)
         revision = self._revision(response, written.revision)
         return TransactionResult(succeeded=True, revision=revision)
 
     async def grant(self, *, ttl_seconds: int) -> int:
-        """Return the id of a new lease."""
+        """Create a lease and return its id."""
         response = await self._post("kv-lease", {"ttl_ms": ttl_seconds * 1000})
-        return _parse(_checked(response, "kv-lease"), _Granted).lease
+        return _parse(_require_ok(response, "kv-lease"), _LeaseGranted).lease
 
     async def renew(self, lease: int) -> int:
-        """Renew a lease and return its seconds to live."""
+        """Renew a lease and return its time to live in seconds."""
         response = await self._post(f"kv-keep/{lease}", {})
         if response.status == 404:
-            raise LeaseNotFoundError("the lease has ended")
-        return _parse(_checked(response, "kv-keep"), _Kept).ttl_ms // 1000
+            raise LeaseNotFoundError("the lease has expired or was revoked")
+        return _parse(_require_ok(response, "kv-keep"), _LeaseRenewed).ttl_ms // 1000
 
     async def revoke(self, lease: int) -> None:
-        """End a lease; its keys are deleted."""
+        """Revoke a lease, which deletes its keys."""
         path = f"{_PATH}kv-lease-end/{lease}"
-        _checked(await self._call("DELETE", path), "kv-lease-end")
+        _require_ok(await self._call("DELETE", path), "kv-lease-end")
 
     async def watch(
         self, key: str, *, prefix: bool = False, from_revision: Revision
     ) -> AsyncIterator[WatchEvent]:
-        """Yield every change from that revision on, across cuts.
+        """Yield every change from a revision on; reconnect when interrupted.
 
         Raises:
-            CompactedError: If changes since then are no longer kept.
-            RestoredError: If the store is of another generation now, even if its
-                count has passed that revision again and it answers.
+            CompactedError: If the store has discarded changes since then.
+            RestoredError: If the store now has another generation, even if its
+                revision numbers have reached that revision again.
         """
-        wanted = _outer(key, prefix=prefix)
+        wanted = _platform_key(key, prefix=prefix)
         generation = from_revision.generation
 
         async def poll(after: int) -> PollResult:
@@ -192,16 +193,14 @@
             )
 
         after = from_revision.number - 1
-        async for event in watch_by_polling(
-            poll, key=wanted, after=after, draw=self._draw
-        ):
+        async for event in long_poll(poll, key=wanted, after=after, draw=self._draw):
             yield event
 
     async def close(self) -> None:
-        """Let go of connections."""
+        """Close all connections."""
         self._client.close()
 
-    async def _watch_once(self, wanted: str, after: int, generation: int) -> _Watched:
+    async def _watch_once(self, wanted: str, after: int, generation: int) -> _Changes:
         query = {
             "prefix": wanted,
             "after": after,
@@ -213,14 +212,14 @@
         )
         present = self._revision(response).generation
         if present != generation:
-            raise RestoredError(f"the store's generation is {present}")
+            raise RestoredError(f"the store was restored; its generation is {present}")
         if response.status == 410:
-            raise CompactedError("the watch's revision is compacted")
-        return _parse(_checked(response, "kv-watch"), _Watched)
+            raise CompactedError("the revision to watch from has been compacted")
+        return _parse(_require_ok(response, "kv-watch"), _Changes)
 
     async def _get(self, call: str, query: dict) -> Response:
         response = await self._call("GET", f"{_PATH}{call}?{urlencode(query)}")
-        return _checked(response, call)
+        return _require_ok(response, call)
 
     async def _post(self, call: str, body: dict) -> Response:
         return await self._call("POST", _PATH + call, body=msgspec.json.encode(body))
@@ -248,8 +247,8 @@
         return self._generations.revision(response.headers_by_name, number)
 
 
-def _outer(key: str, *, prefix: bool = False) -> str:
-    """Return the platform's spelling: the operator's keys are not ours to name."""
+def _platform_key(key: str, *, prefix: bool = False) -> str:
+    """Return the platform's name of a key."""
     if key == CONFIGURATION:
         return _OPERATORS_PREFIX if prefix else _OPERATORS_KEY
     if key.startswith(EVACUATIONS):
@@ -257,7 +256,7 @@
     return key.removeprefix("/")
 
 
-def _inner(key: str) -> str:
+def _project_key(key: str) -> str:
     if key == _OPERATORS_KEY:
         return CONFIGURATION
     if key.startswith(_EVACUATED_PREFIX):
@@ -265,9 +264,9 @@
     return f"/{key}"
 
 
-def _checked(response: Response, call: str) -> Response:
+def _require_ok(response: Response, call: str) -> Response:
     if response.status != 200:
-        raise StoreError(f"{call} answered {response.status}")
+        raise StoreError(f"{call}: HTTP status {response.status}")
     return response
 
 
@@ -275,20 +274,17 @@
     try:
         return msgspec.json.decode(response.body, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise StoreError(f"the store's answer is not usable: {error}") from error
+        raise StoreError(f"the store's response is malformed: {error}") from error
 
 
 def _value(item: _Item) -> bytes | None:
-    """Return an item's bytes; ``None`` if another writer left what can't be read.
-
-    An evacuation is in force while its key is there, whatever the value.
-    """
+    """Return an item's decoded value, or ``None`` if it can't be decoded."""
     if item.key.startswith(_EVACUATED_PREFIX):
-        return b""
+        return b""  # In force while the key exists, whatever its value.
     try:
         return base64.b64decode(item.value, validate=True)
     except ValueError as error:
-        _log.warning("item not usable", key=item.key, reason=str(error))
+        _log.warning("undecodable item ignored", key=item.key, reason=str(error))
         return None
 
 
@@ -297,7 +293,7 @@
     if value is None:
         return None
     return KeyValue(
-        key=_inner(item.key),
+        key=_project_key(item.key),
         value=value,
         mod_revision=Revision(generation=generation, number=item.revision),
         lease=item.lease,
@@ -309,7 +305,7 @@
     if value is None and not item.deleted:
         return None
     return WatchEvent(
-        key=_inner(item.key),
+        key=_project_key(item.key),
         value=value,
         mod_revision=Revision(generation=generation, number=item.revision),
     )
--- a/monsoonpier/platform/targets.py
+++ b/monsoonpier/platform/targets.py
@@ -1,4 +1,4 @@
-"""Calls of a target to its agent: it announces itself, and leaves."""
+"""HTTP calls from a target to its agent: heartbeat and leave."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -20,14 +20,14 @@
 _LEAVE = "/monsoonpier/Instances.Leave/"
 _DRAINING = "draining"
 
-MAX_IDENTITY_CHARACTERS = 200  # as the platform's store allows a key
-MAX_SLOTS = 65_536  # one for each port that a target could have
-MAX_COLD_MS = 3_600_000  # an hour: no target warms up for longer
-MAX_INTEGER = 2**53  # what every reader of JSON holds without loss
-LOGGED_REFUSALS = 20  # of one reason; then each hundredth
-LOGGED_EVERY = 100
+MAX_IDENTITY_CHARACTERS = 200  # limit of a key in the platform's store
+MAX_SLOTS = 65_536
+MAX_COLD_MS = 3_600_000  # one hour
+MAX_INTEGER = 2**53  # exact in JSON numbers that are read as doubles
+LOGGED_REFUSALS = 20  # rejections of one reason that are all logged
+LOGGED_EVERY = 100  # of the rejections after them, one in this many is logged
 
-_Whole = Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)]
+_NonNegative = Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)]
 _log = structlog.get_logger("monsoonpier.platform.targets")
 
 
@@ -37,37 +37,37 @@
     zone: str
     version: str  # of the target's software
     state: Literal["ready", "draining"]
-    sequence: _Whole
+    sequence: _NonNegative
     slots: Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
     cold_remaining_ms: Annotated[float, msgspec.Meta(ge=0, le=MAX_COLD_MS)]
-    born: _Whole | None = None  # Unix milliseconds; absent where targets tell none
+    born: _NonNegative | None = None  # start of the target, Unix milliseconds
 
 
-class _Farewell(msgspec.Struct, frozen=True, kw_only=True):
-    born: _Whole | None = None
+class _Leave(msgspec.Struct, frozen=True, kw_only=True):
+    born: _NonNegative | None = None
 
 
 class TargetCalls:
-    """Decodes the calls and hands them to ``take``, which tells whether it did.
+    """Decodes a target's calls and hands them to a handler.
 
     Args:
-        service: The service of the agent's target. What names another one was
-            written by somebody else.
-        take: Takes each message.
+        service: The service of the agent's target; heartbeats that name another
+            service are rejected.
+        handler: Called with each message; returns whether it accepted it.
     """
 
     def __init__(
         self,
         *,
         service: str,
-        take: Callable[[TargetAnnouncement | TargetLeft], bool],
+        handler: Callable[[TargetAnnouncement | TargetLeft], bool],
     ) -> None:
         self._service = service
-        self._take = take
+        self._handler = handler
         self.refused_by_reason: Counter[str] = Counter()
 
-    def answer(self, request: Request) -> Response:
-        """Return the response to one call."""
+    def handle(self, request: Request) -> Response:
+        """Handle one call and return the response."""
         if request.method != "POST":
             return Response(status=405)
         if request.path.startswith(_HEARTBEAT):
@@ -81,11 +81,11 @@
         try:
             body = msgspec.json.decode(data, type=_Heartbeat)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            return self._refuse("not a heartbeat", identity, detail=str(error))
+            return self._reject("not a heartbeat", identity, detail=str(error))
         if body.service != self._service:
-            return self._refuse("another service", identity, detail=body.service)
+            return self._reject("another service", identity, detail=body.service)
         if not _is_identity(identity):
-            return self._refuse("no identity", identity)
+            return self._reject("no identity", identity)
         announcement = TargetAnnouncement(
             run=TargetRun(identity=identity, born_ms=body.born),
             is_draining=body.state == _DRAINING,
@@ -93,23 +93,23 @@
             cold_seconds=body.cold_remaining_ms / 1000,
             sequence=body.sequence,
         )
-        return _response(accepted=self._take(announcement))
+        return _response(accepted=self._handler(announcement))
 
     def _leave(self, identity: str, data: bytes) -> Response:
         try:
-            body = msgspec.json.decode(data or b"{}", type=_Farewell)
+            body = msgspec.json.decode(data or b"{}", type=_Leave)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            return self._refuse("not a farewell", identity, detail=str(error))
+            return self._reject("not a farewell", identity, detail=str(error))
         left = TargetLeft(run=TargetRun(identity=identity, born_ms=body.born))
-        return _response(accepted=self._take(left))
+        return _response(accepted=self._handler(left))
 
-    def _refuse(self, reason: str, identity: str, *, detail: str = "") -> Response:
-        """Count a call that names no target of ours, and leave a bounded line."""
+    def _reject(self, reason: str, identity: str, *, detail: str = "") -> Response:
+        """Count and log a rejected call; return status 400."""
         self.refused_by_reason[reason] += 1
         count = self.refused_by_reason[reason]
         if count <= LOGGED_REFUSALS or count % LOGGED_EVERY == 0:
             _log.warning(
-                "target's call refused",
+                "target's call rejected",
                 reason=reason,
                 identity=identity[:MAX_IDENTITY_CHARACTERS],
                 detail=detail[:MAX_IDENTITY_CHARACTERS],
--- a/monsoonpier/store/long_poll.py
+++ b/monsoonpier/store/long_poll.py
@@ -10,7 +10,7 @@
 from monsoonpier.store.backoff import Backoff
 from monsoonpier.store.interface import CompactedError, StoreError, WatchEvent
 
-__all__ = ["PollResult", "watch_by_polling"]
+__all__ = ["PollResult", "long_poll"]
 
 MAX_RETRY_SECONDS = 0.5  # short, so that watches resume soon after an outage
 _log = structlog.get_logger("monsoonpier.store.long_poll")
@@ -24,7 +24,7 @@
     number: int
 
 
-async def watch_by_polling(
+async def long_poll(
     poll: Callable[[int], Awaitable[PollResult]],
     *,
     key: str,
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter's translations: packets, configuration, settings, targets' calls."""
+"""The adapter's translation of packets, configuration, settings and calls."""
 
 import contextlib
 import gc
@@ -56,12 +56,12 @@
 
 
 class PacketTests(unittest.TestCase):
-    """The header, against the published example and the stand-ins' own codec."""
+    """The packet header, against the published example and the test codec."""
 
     codec = PlatformPackets()
 
     def test_published_example(self) -> None:
-        """The published SYN and reset are read and written as they stand."""
+        """The published SYN is decoded and the published reset encoded exactly."""
         syn = self.codec.decode(PUBLISHED_SYN, from_target=False)
         self.assertTrue(syn.is_syn)
         self.assertEqual(syn.caller_ip, CALLER[0])
@@ -70,7 +70,7 @@
         self.assertEqual(self.codec.reset(syn.flow, acknowledged=0), PUBLISHED_RESET)
 
     def test_both_directions_name_one_flow(self) -> None:
-        """A caller's packet and its target's answer have the same flow."""
+        """A caller's packet and its target's response have the same flow key."""
         there = Segment(flags=SYN, source=CALLER, destination=SERVICE)
         back = Segment(flags=SYN | ACK, source=SERVICE, destination=CALLER)
         one = self.codec.decode(there.encode(), from_target=False)
@@ -79,7 +79,7 @@
         self.assertEqual(other.caller_ip, CALLER[0])
 
     def test_returned_packet(self) -> None:
-        """A packet that a target sends back is as its caller wrote it."""
+        """A packet that a target returns is restored to what its caller sent."""
         sent = Segment(flags=SYN, source=CALLER, destination=SERVICE).encode()
         back = bytes((sent[0] | BOUNCED,)) + sent[1:]
         packet = self.codec.decode(back, from_target=True)
@@ -87,8 +87,8 @@
         self.assertEqual(packet.raw, sent)
         self.assertEqual(packet.caller_ip, CALLER[0])
 
-    def test_reset_is_near_to_what_the_caller_acknowledged(self) -> None:
-        """A reset carries the caller's last acknowledgement as its sequence."""
+    def test_sequence_of_reset(self) -> None:
+        """A reset's sequence number is the caller's last acknowledgement."""
         sent = Segment(
             flags=ACK, source=CALLER, destination=SERVICE, acknowledged=77_000
         )
@@ -99,7 +99,7 @@
         self.assertEqual((reset.source, reset.destination), (SERVICE, CALLER))
 
     def test_any_bytes(self) -> None:
-        """Whatever arrives is a packet or is dropped with a reason."""
+        """Any datagram is decoded to a packet or dropped with a reason."""
         draw = random.Random(11)
         for _ in range(5_000):
             data = draw.randbytes(draw.randint(0, 60))
@@ -108,10 +108,10 @@
 
 
 class ConfigurationTests(unittest.TestCase):
-    """The operator's configuration."""
+    """Decoding of the operator's configuration."""
 
     def test_routes(self) -> None:
-        """A route's host and prefix are an address; its type is not needed."""
+        """A route's host and prefix form an address; unknown fields are ignored."""
         value = b"""{"version": 7, "routes": [{"name": "r", "host": "198.18.0.1",
             "prefix": "/8443/", "type": "safe", "timeout_ms": 3000,
             "target_latency_ms": 225, "priority": 2, "service": "maps",
@@ -123,7 +123,7 @@
         self.assertEqual((route.service, route.timeout_seconds), ("maps", 3.0))
 
     def test_shared_route(self) -> None:
-        """Backends are weights by service; a wrong one costs no other route."""
+        """Backends are weights by service; an invalid one affects no other route."""
         value = b"""{"version": 7, "routes": [
             {"host": "198.18.0.1", "prefix": "/1/", "backends":
                 [{"service": "maps", "weight": 90}, {"service": "next", "weight": 10}]},
@@ -137,8 +137,8 @@
         self.assertEqual(weights_by_port, {1: {"maps": 90, "next": 10}, 2: {}, 3: {}})
         self.assertEqual(len(configuration.findings), 5)
 
-    def test_unusable(self) -> None:
-        """What is no configuration is a ``ValueError``, never anything else."""
+    def test_invalid_configuration(self) -> None:
+        """An invalid configuration raises ``ValueError`` and nothing else."""
         route = b'{"host": "%s", "prefix": "%s", "service": "s"}'
         values = [b"", b"{}", b"[1]", b'{"version": "x", "routes": []}', b"\xff\xfe"]
         for host, prefix in ((b"h", b"/x/"), (b"198.18.0.1", b"/"), (b"x", b"/1/")):
@@ -149,7 +149,7 @@
 
 
 class SettingsTests(unittest.TestCase):
-    """Settings as the platform writes them."""
+    """Loading of the platform's settings file."""
 
     TEXT = """
 node_name = "side-1"
@@ -177,7 +177,7 @@
             return load_platform_settings(role=role, environment=environment)
 
     def test_agent(self) -> None:
-        """An agent's settings in the product's terms."""
+        """An agent's settings file is translated to the common settings."""
         settings = self.load(self.TEXT)
         self.assertEqual(settings.common.data_centre, "norte")
         self.assertEqual(settings.common.target.service, "maps")
@@ -185,21 +185,21 @@
         self.assertEqual(settings.from_target, Address(ip="10.1.0.12", port=8162))
 
     def test_link(self) -> None:
-        """The link's rate is taken where it is told; without one nothing is paced."""
+        """The link's rate is optional; it is converted to bits a second."""
         self.assertIsNone(self.load(self.TEXT).common.link_bits_per_second)
         for text, rate in (("2.0", 2e6), ("1000", 1e9)):
-            told = self.load(self.TEXT + f"[limits]\nlink_mbps = {text}\n")
-            self.assertEqual(told.common.link_bits_per_second, rate)
+            loaded = self.load(self.TEXT + f"[limits]\nlink_mbps = {text}\n")
+            self.assertEqual(loaded.common.link_bits_per_second, rate)
 
-    def test_wrong_link(self) -> None:
-        """A rate that can't be one is found at its place."""
+    def test_invalid_link(self) -> None:
+        """An invalid link rate is reported with its line and column."""
         for text in ("0", "-2.0", '"wide"', "nan", "[]"):
             with self.subTest(text=text), self.assertRaises(ValueError) as caught:
                 self.load(self.TEXT + f"[limits]\nlink_mbps = {text}\n")
             self.assertRegex(str(caught.exception), r":18:13: 'limits.link_mbps'")
 
     def test_all_findings_with_their_places(self) -> None:
-        """Everything that is wrong is reported at once, with line and column."""
+        """All problems are reported at once, with line and column."""
         text = self.TEXT.replace('zone = "norte"\n', "")
         text = text.replace("[7720, 7735]", '"7720"')
         text = text.replace("10.200.1.7:8169", "10.200.1.7")
@@ -211,8 +211,8 @@
         self.assertRegex(lines[1], r"\.toml:4:18: 'internal_ports': ")
         self.assertRegex(lines[2], r"\.toml:15:11: '10.200.1.7' is not an ip:port")
 
-    def test_wrong(self) -> None:
-        """Wrong settings are one error that names the file and what is wrong."""
+    def test_invalid_settings(self) -> None:
+        """Invalid settings raise one ``ValueError`` that names the file."""
         cases = {
             "node_name": self.TEXT.replace("node_name", "name"),
             "app": self.TEXT.replace('app = "10.1.0.12:8165"', ""),
@@ -230,11 +230,11 @@
 
 
 class TargetCallTests(unittest.TestCase):
-    """What a target tells its agent."""
+    """HTTP calls from a target to its agent."""
 
     def setUp(self) -> None:
         self.taken: list = []
-        self.calls = TargetCalls(service="maps", take=self._take)
+        self.calls = TargetCalls(service="maps", handler=self._take)
 
     def _take(self, message) -> bool:
         self.taken.append(message)
@@ -242,10 +242,10 @@
 
     def _post(self, path: str, body: bytes = b"") -> int:
         request = Request(method="POST", path="/monsoonpier/" + path, body=body)
-        return self.calls.answer(request).status
+        return self.calls.handle(request).status
 
     def test_heartbeat_and_leave(self) -> None:
-        """A heartbeat and a farewell become typed messages."""
+        """Heartbeat and leave calls are decoded to typed messages."""
         body = b"""{"service": "maps", "address": "10.1.0.12:8165", "zone": "z",
             "version": "v1", "slots": 3, "state": "draining",
             "cold_remaining_ms": 1500, "sequence": 4}"""
@@ -257,16 +257,16 @@
         self.assertEqual(announced.cold_seconds, 1.5)
         self.assertEqual(left, TargetLeft(run=TargetRun(identity="i-1")))
 
-    def test_birth(self) -> None:
-        """The moment of its start names the target's run, in farewells too."""
+    def test_start_time(self) -> None:
+        """The start time identifies the target's run in heartbeats and leave calls."""
         body = HEARTBEAT | {"born": 1_780_000_000_123}
         self._post("Instances.Heartbeat/i-1", msgspec.json.encode(body))
         self._post("Instances.Leave/i-1", b'{"born": 1780000000123}')
         run = TargetRun(identity="i-1", born_ms=1_780_000_000_123)
         self.assertEqual([message.run for message in self.taken], [run, run])
 
-    def test_other_writers(self) -> None:
-        """A heartbeat that isn't whole and right names no target."""
+    def test_invalid_fields(self) -> None:
+        """A call with a missing or invalid field is rejected and counted."""
         wrong = [
             {name: value}
             for name, value in HEARTBEAT.items()
@@ -310,7 +310,7 @@
         identity=st.text(max_size=9),
     )
     def test_any_call(self, body, identity) -> None:
-        """Whatever is called leads to a typed message or a counted refusal."""
+        """Any call gives a typed message or a counted rejection."""
         self.taken.clear()
         self.calls.refused_by_reason.clear()
         for call in ("Heartbeat", "Leave"):
@@ -321,13 +321,13 @@
         for message in self.taken:
             self.assertIsInstance(message, TargetAnnouncement | TargetLeft)
 
-    def test_bad_calls(self) -> None:
-        """A malformed call gets a 4xx and changes nothing."""
+    def test_malformed_calls(self) -> None:
+        """A malformed call gets status 4xx and is not handed on."""
         for body in (b"", b"{}", b"[]", b"\xff", b'{"service": 1}'):
             self.assertEqual(self._post("Instances.Heartbeat/i-1", body), 400)
         self.assertEqual(self._post("Instances.Other/i-1"), 404)
         get = Request(method="GET", path="/monsoonpier/Instances.Leave/i-1")
-        self.assertEqual(self.calls.answer(get).status, 405)
+        self.assertEqual(self.calls.handle(get).status, 405)
         self.assertEqual(self.taken, [])
 
 
@@ -361,14 +361,10 @@
 
 
 class StartTests(unittest.TestCase):
-    """What a daemon does first."""
+    """The start of a daemon."""
 
-    def test_hang_up_while_starting(self) -> None:
-        """Changed settings don't end a process that is still being imported.
-
-        Found by a process test: an agent ended by SIGHUP before its own handler
-        stood.
-        """
+    def test_sighup_while_starting(self) -> None:
+        """A SIGHUP that arrives during imports does not end the process."""
         before = signal.getsignal(signal.SIGHUP)
         self.addCleanup(gc.enable)
         self.addCleanup(signal.signal, signal.SIGHUP, before)
