--- a/monsoonpier/process/__init__.py
+++ b/monsoonpier/process/__init__.py
@@ -1,1 +1,1 @@
-"""What every long-running process shares: logs, metrics, control, life."""
+"""Parts shared by all long-running processes: logs, metrics, control, lifecycle."""
--- a/monsoonpier/process/control.py
+++ b/monsoonpier/process/control.py
@@ -1,4 +1,4 @@
-"""Conversations between processes over ZeroMQ, sealed with the shared keys."""
+"""Requests between processes over ZeroMQ, authenticated with the shared keys."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,19 +21,19 @@
 
 __all__ = ["ControlServer", "NoAnswer", "answer_drain", "ask"]
 
-ASK_SECONDS = 2.0
-HIGH_WATER_MARK = 100
+ASK_SECONDS = 2.0  # default timeout of a request
+HIGH_WATER_MARK = 100  # messages queued per connection
 _log = structlog.get_logger("monsoonpier.process.control")
 
 Handler = Callable[[msgspec.Struct], Awaitable[msgspec.Struct | None]]
 
 
 class NoAnswer(Exception):
-    """The process did not answer in time, or answered nonsense."""
+    """The process did not reply in time, or its reply could not be decoded."""
 
 
 class ControlServer:
-    """Owns a ROUTER socket and answers each message by a handler."""
+    """Answers control requests on a ROUTER socket through a handler."""
 
     def __init__(self, *, address: Address, keys: KeyRing, handler: Handler) -> None:
         self._address = address
@@ -48,7 +48,7 @@
         """Bind the socket.
 
         Raises:
-            OSError: If the port is taken.
+            OSError: If the port is in use.
         """
         socket = self._context.socket(zmq.ROUTER)
         socket.setsockopt(zmq.LINGER, 0)
@@ -62,7 +62,7 @@
         self._socket = socket
 
     async def run(self) -> None:
-        """Answer messages until cancelled."""
+        """Serve requests until cancelled."""
         assert self._socket is not None
         while True:
             identity, *frames = await self._socket.recv_multipart()
@@ -74,9 +74,9 @@
                 self.dropped += 1
                 _log.warning("control message dropped", reason=message.reason)
                 continue
-            answer = await self._handler(message)
-            if answer is not None:
-                data = self._codec.encode(answer)
+            reply = await self._handler(message)
+            if reply is not None:
+                data = self._codec.encode(reply)
                 self.bytes_total += len(frames[0]) + len(data)
                 await self._socket.send_multipart([identity, data])
 
@@ -87,17 +87,17 @@
         self._context.term()
 
 
-def answer_drain(question: AskDrain, *, name: str, life: ProcessLife) -> DrainReply:
-    """Let the process leave if it is the one that is meant, once.
+def answer_drain(request: AskDrain, *, name: str, life: ProcessLife) -> DrainReply:
+    """Start the shutdown of this process if the request names it.
 
     Args:
-        question: The operator's request.
+        request: The operator's request.
         name: This process's name.
-        life: This process's life.
+        life: This process's lifecycle.
     """
-    if question.name != name:
+    if request.name != name:
         return DrainReply(accepted=False, reason="not this process")
-    # A second termination would end a leaving process at once.
+    # A second "terminate" event would stop a leaving process at once.
     if life.state != "leaving":
         life.step("terminate")
     return DrainReply(accepted=True)
@@ -110,10 +110,10 @@
     keys: KeyRing,
     timeout: float = ASK_SECONDS,
 ) -> msgspec.Struct:
-    """Send a message to a process and return its answer.
+    """Send a request to a process and return its reply.
 
     Raises:
-        NoAnswer: If none comes within ``timeout`` seconds.
+        NoAnswer: If no valid reply arrives within ``timeout`` seconds.
     """
     codec = ControlCodec(keys=keys)
     context = zmq.asyncio.Context.instance()
@@ -127,7 +127,7 @@
         raise NoAnswer(f"{address} did not answer") from error
     finally:
         socket.close()
-    answer = codec.decode(data)
-    if isinstance(answer, Dropped):
-        raise NoAnswer(f"{address} answered a {answer.reason} message")
-    return answer
+    reply = codec.decode(data)
+    if isinstance(reply, Dropped):
+        raise NoAnswer(f"{address} sent a {reply.reason} reply")
+    return reply
--- a/monsoonpier/process/exposition.py
+++ b/monsoonpier/process/exposition.py
@@ -1,14 +1,14 @@
-"""Readings in the text format of Prometheus, by ``prometheus_client``.
+"""Export of metrics in the Prometheus text format.
 
-Imported when metrics are first asked for: it takes 25 ms and 3 MB, in which a
-process that was just restarted should rather serve.
+Import this module on the first request for metrics only: ``prometheus_client`` would
+slow the start of each process.
 """
 
 from collections.abc import Callable, Iterable
 from itertools import accumulate
 
 from prometheus_client import CollectorRegistry, generate_latest
-from prometheus_client.core import Metric
+from prometheus_client.core import Metric as PrometheusMetric
 from prometheus_client.metrics_core import (
     CounterMetricFamily,
     GaugeMetricFamily,
@@ -30,7 +30,7 @@
 
 
 def expose(read: Callable[[], Iterable[Reading]]) -> bytes:
-    """Return the present readings as text."""
+    """Return the current metrics in the Prometheus text format."""
     registry = CollectorRegistry()
     registry.register(_Collector(read))
     return generate_latest(registry)
@@ -40,11 +40,11 @@
     def __init__(self, read: Callable[[], Iterable[Reading]]) -> None:
         self._read = read
 
-    def collect(self) -> Iterable[Metric]:
-        return (_metric(reading) for reading in self._read())
+    def collect(self) -> Iterable[PrometheusMetric]:
+        return (_to_prometheus(reading) for reading in self._read())
 
 
-def _metric(reading: Reading) -> Metric:
+def _to_prometheus(reading: Reading) -> PrometheusMetric:
     name = PREFIX + reading.name
     match reading:
         case Gauge(help=text, value=value):
--- a/monsoonpier/process/frames.py
+++ b/monsoonpier/process/frames.py
@@ -1,4 +1,4 @@
-"""Frames on their way out: sealed, by their urgency, by what the link carries."""
+"""Sending of frames through the link scheduler."""
 
 from monsoonpier.link.sender import LinkSender
 from monsoonpier.process.udp import UdpSocket
@@ -17,15 +17,15 @@
     socket: UdpSocket,
     flow: bytes = b"",
 ) -> int:
-    """Send a frame to another process's internal address; return its bytes.
+    """Encode and send a frame to another process; return its size in bytes.
 
     Args:
         frame: The frame.
-        endpoint: Where to.
-        codec: Seals it.
-        sender: The link that all of the process's sockets share.
-        socket: What it leaves through.
-        flow: The flow that it belongs to, if any.
+        endpoint: The other process's internal address.
+        codec: Encodes and authenticates the frame.
+        sender: The scheduler that all sockets of this process share.
+        socket: The socket to send through.
+        flow: The flow that the frame belongs to, if any.
     """
     data = codec.encode(frame)
     urgency = urgency_of(frame, size=len(data))
--- a/monsoonpier/process/life.py
+++ b/monsoonpier/process/life.py
@@ -1,4 +1,4 @@
-"""The life of a process on ``charts/process.toml``, and its signals."""
+"""The lifecycle of a process (``charts/process.toml``) and its signals."""
 
 import asyncio
 import os
@@ -16,7 +16,7 @@
 
 
 class ProcessLife:
-    """Steps the process's chart and lets tasks wait for its leaving."""
+    """Tracks the state of a process and lets tasks wait for its shutdown."""
 
     def __init__(self) -> None:
         self._chart = load_chart("process")
@@ -25,16 +25,16 @@
 
     @property
     def state(self) -> str:
-        """The chart's present state."""
+        """The current state."""
         return self._state
 
     @property
     def is_ready(self) -> bool:
-        """Whether new work should be sent here."""
+        """Whether the process accepts new work."""
         return self._chart.has(self._state, "ready")
 
     def step(self, event: str) -> None:
-        """Apply an event of the chart."""
+        """Apply an event to the state chart."""
         before = self._state
         self._state = self._chart.step(before, event)
         if self._state != before:
@@ -43,32 +43,35 @@
             self._leaving.set()
 
     async def wait_for_leaving(self) -> None:
-        """Return when the process has been asked to leave."""
+        """Wait until the process should shut down."""
         await self._leaving.wait()
 
     def install_signals(self) -> None:
-        """Leave gracefully on the first SIGTERM or SIGINT; end on the second."""
+        """Shut down gracefully on the first SIGTERM or SIGINT; exit on the second."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._signalled)
-        # Without a handler it would end the process. What a running process needs
-        # of its settings doesn't change; the rest is read at the next start.
-        loop.add_signal_handler(signal.SIGHUP, _note_changed_settings)
+            loop.add_signal_handler(number, self._terminate)
+        # SIGHUP would end the process without a handler. Changed settings take
+        # effect at the next start.
+        loop.add_signal_handler(signal.SIGHUP, _log_changed_settings)
 
-    def _signalled(self) -> None:
+    def _terminate(self) -> None:
         self.step("terminate")
         if self._state == "stopped":
             os._exit(Exit.INTERRUPTED)
 
 
-def _note_changed_settings() -> None:
+def _log_changed_settings() -> None:
     _log.info("settings changed", taken="at the next start")
 
 
 async def run_until_left(
     leave: Callable[[], Awaitable[None]], jobs: Iterable[Callable[[], Awaitable[None]]]
 ) -> None:
-    """Run jobs until ``leave`` has returned; a job that fails ends all of them."""
+    """Run jobs until ``leave`` returns or a job ends; then cancel the rest.
+
+    An exception of the first to end is raised.
+    """
     tasks = [asyncio.create_task(job()) for job in jobs]
     leaving = asyncio.create_task(leave())
     done, _ = await asyncio.wait([leaving, *tasks], return_when=asyncio.FIRST_COMPLETED)
--- a/monsoonpier/process/logs.py
+++ b/monsoonpier/process/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines; bounded under load, and never waiting for their reader."""
+"""JSON line logs, limited in rate, whose writer never blocks."""
 
 import logging
 import os
@@ -9,89 +9,97 @@
 
 import structlog
 
-__all__ = ["DecisionLog", "FloodGate", "LineWriter", "configure_logs", "flow_name"]
+__all__ = ["DecisionLog", "LogRateLimiter", "LineWriter", "configure_logs", "flow_name"]
 
-FLOOD_LIMIT = 40  # lines of one event that are written per period
+FLOOD_LIMIT = 40  # lines per event and period
 FLOOD_PERIOD_SECONDS = 10.0
 STDOUT = 1
 STDERR = 2
-MAX_LINE_BYTES = 4_096  # what a pipe that has room takes without blocking (POSIX)
-MAX_KEPT_BYTES = 262_144  # kept while the reader has stopped; then lines are lost
+MAX_LINE_BYTES = 4_096  # a pipe that is writable takes this without blocking (POSIX)
+MAX_KEPT_BYTES = 262_144  # queued while the reader is stalled; more is dropped
 
 
 @dataclass(slots=True)
-class _Flood:
-    since: float
+class _Period:
+    began_at: float
     count: int = 0
 
 
-class FloodGate:
-    """A structlog processor that lets only so many of one event through."""
+class LogRateLimiter:
+    """A structlog processor that limits the lines per event and period."""
 
     def __init__(self) -> None:
-        self._floods_by_event: dict[str, _Flood] = {}
+        self._periods_by_event: dict[str, _Period] = {}
 
     def __call__(self, logger, method: str, entry: dict) -> dict:
-        """Pass the entry on, with a count of those suppressed before it."""
-        return self.admit(entry, now=time.monotonic())
+        """Return the entry, or raise ``DropEvent`` if over the limit."""
+        return self.limit(entry, now=time.monotonic())
 
-    def admit(self, entry: dict, *, now: float) -> dict:
-        """Return the entry, or raise ``DropEvent`` if it is one too many."""
-        suppressed = self.suppressed(str(entry.get("event", "")), now=now)
+    def limit(self, entry: dict, *, now: float) -> dict:
+        """Return the entry, with the number suppressed before it if any.
+
+        Raises:
+            structlog.DropEvent: If the event is over its limit.
+        """
+        suppressed = self.count(str(entry.get("event", "")), now=now)
         if suppressed is None:
             raise structlog.DropEvent
         if suppressed:
             entry["suppressed"] = suppressed
         return entry
 
-    def suppressed(self, event: str, *, now: float) -> int | None:
-        """Count an event; return how many were cut before it, ``None`` if it is."""
-        flood = self._floods_by_event.setdefault(event, _Flood(since=now))
-        cut = 0
-        if now - flood.since >= FLOOD_PERIOD_SECONDS:
-            cut = max(0, flood.count - FLOOD_LIMIT)
-            flood.since = now
-            flood.count = 0
-        flood.count += 1
-        return None if flood.count > FLOOD_LIMIT else cut
+    def count(self, event: str, *, now: float) -> int | None:
+        """Count an event and return the number suppressed in the last period.
+
+        Returns ``None`` if this event is over the limit itself.
+        """
+        period = self._periods_by_event.setdefault(event, _Period(began_at=now))
+        suppressed = 0
+        if now - period.began_at >= FLOOD_PERIOD_SECONDS:
+            suppressed = max(0, period.count - FLOOD_LIMIT)
+            period.began_at = now
+            period.count = 0
+        period.count += 1
+        return None if period.count > FLOOD_LIMIT else suppressed
 
 
 class LineWriter:
-    """Writes lines to a descriptor if it has room, keeps or drops them if not.
+    """Writes lines to a file descriptor without blocking.
 
-    A reader that has stopped must never stop the process.
+    While the descriptor is not writable, lines are queued up to `MAX_KEPT_BYTES` and
+    then dropped, so that a stalled reader never blocks the process.
     """
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
-        self._kept: deque[bytes] = deque()
-        self._kept_bytes = 0
+        self._queued: deque[bytes] = deque()
+        self._queued_bytes = 0
         self.dropped = 0
 
     def msg(self, line: str) -> None:
-        """Take one line without its end."""
+        """Write or queue one line, given without its line end."""
         data = line.encode("utf-8", "replace")[: MAX_LINE_BYTES - 1] + b"\n"
-        if self._kept_bytes + len(data) > MAX_KEPT_BYTES:
+        if self._queued_bytes + len(data) > MAX_KEPT_BYTES:
             self.dropped += 1
             return
-        self._kept.append(data)
-        self._kept_bytes += len(data)
+        self._queued.append(data)
+        self._queued_bytes += len(data)
         self._flush()
 
     debug = info = warning = error = critical = msg
 
     def _flush(self) -> None:
-        while self._kept and self._has_room():
-            data = self._kept.popleft()
-            self._kept_bytes -= len(data)
+        while self._queued and self._is_writable():
+            data = self._queued.popleft()
+            self._queued_bytes -= len(data)
             try:
                 os.write(self._descriptor, data)
             except OSError:
-                self.dropped += 1  # A closed pipe must not stop the process.
+                self.dropped += 1  # A closed pipe must not end the process.
 
-    def _has_room(self) -> bool:
+    def _is_writable(self) -> bool:
         try:
             return any(event & select.POLLOUT for _, event in self._poll.poll(0))
         except OSError:
@@ -99,18 +107,18 @@
 
 
 class DecisionLog:
-    """Where decisions leave a line each, with what decided them.
+    """Logs decisions about flows, limited in rate.
 
-    The gate is asked first: a suppressed line costs a lookup.
+    The rate limit is checked before a line is built, so suppressed lines are cheap.
     """
 
     def __init__(self, name: str) -> None:
         self._log = structlog.get_logger(name)
-        self._gate = FloodGate()
+        self._limiter = LogRateLimiter()
 
     def note(self, event: str, *, now: float, flow: bytes = b"", **fields) -> None:
-        """Write what was decided about a flow, or counted if too much is."""
-        suppressed = self._gate.suppressed(event, now=now)
+        """Log a decision about a flow unless the event is over its limit."""
+        suppressed = self._limiter.count(event, now=now)
         if suppressed is None:
             return
         if suppressed:
@@ -121,7 +129,7 @@
 
 
 def flow_name(flow: bytes) -> str:
-    """Return a flow's name in logs: the caller's end and the service's."""
+    """Format a flow key as ``caller_ip:port>service_ip:port``."""
     caller = ".".join(str(byte) for byte in flow[0:4])
     service = ".".join(str(byte) for byte in flow[4:8])
     caller_port = int.from_bytes(flow[8:10], "big")
@@ -130,20 +138,20 @@
 
 
 def configure_logs(*, level: str, descriptor: int = STDERR, **context: str) -> None:
-    """Set up logs for this process; ``context`` stands in every line.
+    """Set up the logs of this process.
 
     Args:
-        level: The least level that is logged.
-        descriptor: Where lines go: daemons to standard output, commands whose
-            output is read by programs to standard error.
-        context: Fields such as the process's name.
+        level: The lowest level that is logged.
+        descriptor: The file descriptor to write to. Daemons use standard output;
+            commands use standard error, as programs read their output.
+        context: Fields of every line, such as the process's name.
     """
     writer = LineWriter(descriptor)
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
-            FloodGate(),
+            LogRateLimiter(),
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
             structlog.processors.JSONRenderer(),
--- a/monsoonpier/process/readings.py
+++ b/monsoonpier/process/readings.py
@@ -1,4 +1,4 @@
-"""What a process tells of itself when its metrics are asked for."""
+"""Metrics of a process, independent of their export format."""
 
 from bisect import bisect_left
 from collections.abc import Mapping
@@ -6,7 +6,7 @@
 
 __all__ = ["Counter", "Gauge", "Histogram", "Reading", "Series", "counter", "gauge"]
 
-# Seconds; from a packet's way through one process to a caller's patience.
+# Upper bounds of histogram buckets, in seconds.
 BOUNDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
 
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Counter:
-    """Counts that only grow, by one label."""
+    """Counts that never decrease, by one label."""
 
     name: str
     help: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Histogram:
-    """Times in seconds, counted by bucket; the last bucket has no bound."""
+    """Durations in seconds, counted by bucket; the last bucket has no bound."""
 
     name: str
     help: str
@@ -39,19 +39,19 @@
     sums: list[float] = field(default_factory=lambda: [0.0])
 
     def observe(self, seconds: float) -> None:
-        """Count one time."""
+        """Add one duration."""
         self.counts[bisect_left(BOUNDS, seconds)] += 1
         self.sums[0] += seconds
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Series:
-    """Values by several labels; the caller sees to it that they are few.
+    """Values by several labels; callers must keep the number of values small.
 
     Attributes:
-        labels: Their names.
-        values_by_labels: The values, by what the labels say in that order.
-        is_counter: The values only grow.
+        labels: The names of the labels.
+        values_by_labels: The values, by label values in the order of ``labels``.
+        is_counter: Whether the values never decrease.
     """
 
     name: str
--- a/monsoonpier/process/registry.py
+++ b/monsoonpier/process/registry.py
@@ -1,4 +1,4 @@
-"""Balancers as they have registered themselves in the store."""
+"""Reading of the balancers registered in the store."""
 
 import structlog
 
@@ -9,22 +9,22 @@
 
 __all__ = ["registered_balancers"]
 
-MAX_LOGGED = 3  # keys named in one line; the count tells the rest
+MAX_LOGGED = 3  # keys listed in one log line
 _log = structlog.get_logger("monsoonpier.process.registry")
 
 
 def registered_balancers(
-    found: Snapshot, *, codec: FrameCodec
+    snapshot: Snapshot, *, codec: FrameCodec
 ) -> tuple[BalancerRecord, ...]:
-    """Return the records in what was read; what others wrote names nobody.
+    """Return the valid balancer records; log and skip the others.
 
     Args:
-        found: The keys that begin as those of balancers do.
-        codec: Opens the records, which are sealed like frames.
+        snapshot: All keys with the prefix `BALANCERS`.
+        codec: Decodes the records, which are authenticated like frames.
     """
     records = []
     reasons_by_key = {}
-    for key, value in found.values_by_key.items():
+    for key, value in snapshot.values_by_key.items():
         record = codec.decode(value.value)
         if isinstance(record, BalancerRecord) and key == BALANCERS + record.name:
             records.append(record)
@@ -32,6 +32,6 @@
             reason = record.reason if isinstance(record, Dropped) else "another's key"
             reasons_by_key[key] = reason
     if reasons_by_key:
-        logged = dict(list(reasons_by_key.items())[:MAX_LOGGED])
-        _log.warning("entries not usable", count=len(reasons_by_key), reasons=logged)
+        sample = dict(list(reasons_by_key.items())[:MAX_LOGGED])
+        _log.warning("entries not usable", count=len(reasons_by_key), reasons=sample)
     return tuple(records)
--- a/monsoonpier/process/udp.py
+++ b/monsoonpier/process/udp.py
@@ -1,4 +1,4 @@
-"""A UDP socket that hands each datagram to one owner."""
+"""A UDP socket that passes each datagram to a callback."""
 
 import asyncio
 import socket
@@ -8,13 +8,13 @@
 
 __all__ = ["UdpSocket", "open_udp"]
 
-BUFFER_BYTES = 4 * 1_048_576  # bursts of uploads must not overrun the default
+BUFFER_BYTES = 4 * 1_048_576  # receive buffer; bursts overrun the default size
 
 Receiver = Callable[[bytes, tuple[str, int]], None]
 
 
 class UdpSocket(asyncio.DatagramProtocol):
-    """Counts bytes both ways; a failing datagram never ends the socket."""
+    """A UDP socket that counts bytes and ignores failures of single datagrams."""
 
     def __init__(self, receive: Receiver) -> None:
         self._receive = receive
@@ -23,19 +23,19 @@
         self.bytes_out = 0
 
     def connection_made(self, transport) -> None:
-        """Keep the transport; called by asyncio."""
+        """Store the transport; called by asyncio."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand one datagram to the owner; called by asyncio."""
+        """Pass one datagram to the callback; called by asyncio."""
         self.bytes_in += len(data)
         self._receive(data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore ICMP errors: the peer's absence is judged by silence."""
+        """Ignore ICMP errors; failed peers are detected by timeouts."""
 
     def send(self, data: bytes, endpoint: tuple[str, int]) -> None:
-        """Send one datagram; what can't be sent is lost, as on the network."""
+        """Send one datagram; drop it if it can't be sent."""
         if self._transport is None or self._transport.is_closing():
             return
         self.bytes_out += len(data)
@@ -58,10 +58,10 @@
 
 
 async def open_udp(receive: Receiver, *, ip: str, port: int) -> UdpSocket:
-    """Bind a UDP socket and hand its datagrams to ``receive``.
+    """Bind a UDP socket and pass its datagrams to ``receive``.
 
     Raises:
-        OSError: If the port is taken or the address is not of this machine.
+        OSError: If the port is in use or the address is not local.
     """
     loop = asyncio.get_running_loop()
     raw = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/monsoonpier/process/web.py
+++ b/monsoonpier/process/web.py
@@ -23,13 +23,13 @@
     ) -> None:
         self._read_metrics = read_metrics
         self._is_ready = is_ready
-        self._server = HttpServer(address=address, handler=self.answer)
+        self._server = HttpServer(address=address, handler=self.handle)
 
     async def start(self) -> None:
-        """Begin to serve.
+        """Start to serve.
 
         Raises:
-            OSError: If the port is taken.
+            OSError: If the port is in use.
         """
         await self._server.start()
 
@@ -37,8 +37,8 @@
         """Stop serving."""
         await self._server.stop()
 
-    def answer(self, request: Request) -> Response:
-        """Return the page that was asked for."""
+    def handle(self, request: Request) -> Response:
+        """Handle one request."""
         if request.method != "GET":
             return Response(status=405)
         match request.path:
@@ -57,7 +57,7 @@
 
 
 def ready_response(*, is_ready: bool) -> Response:
-    """Return what a probe of readiness is answered."""
+    """Return the response to a readiness probe."""
     if is_ready:
         return Response(body=b"ready\n")
     return Response(status=503, body=b"not ready\n")
--- a/tests/process/__init__.py
+++ b/tests/process/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of process."""
+"""Tests of processes: logs, metrics and failures."""
--- a/tests/process/test_failures.py
+++ b/tests/process/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of real processes on loopback, judged by independent records."""
+"""Failures of real processes on loopback, checked against targets' records."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 
 
 class _Case(unittest.IsolatedAsyncioTestCase):
-    """A deployment of its own for each test, on a net of its own."""
+    """Each test runs its own deployment in its own loopback network."""
 
     async def _start(
         self, net: str, *, balancers: int = 2, maps: int = 2, logs: int = 0
@@ -44,7 +44,7 @@
         return Load(maps=deployment.address("maps"), logs=deployment.address("logs"))
 
     async def _finish(self, load: Load, deployment: Deployment) -> None:
-        """End the load; nothing that must never happen may have happened."""
+        """Stop the load and check that no guarantee was violated."""
         await load.stop()
         judgement = judge(load, deployment.runs())
         self.assertEqual(load.errors, [])
@@ -53,10 +53,10 @@
 
 
 class BalancerFailureTests(_Case):
-    """Balancers that die, freeze and are replaced."""
+    """Balancers that are killed, suspended and replaced."""
 
-    async def test_killed_and_frozen(self):
-        """A killed balancer and a frozen one break no flow and lose no answer."""
+    async def test_killed_and_suspended(self):
+        """A killed and a suspended balancer break no flow and lose no response."""
         deployment = await self._start("127.83.1", balancers=3)
         load = self._load(deployment)
         load.start(streams=10, readers=5, uploaders=0)
@@ -70,7 +70,7 @@
         await self._finish(load, deployment)
 
     async def test_rollout_of_everything(self):
-        """Replacing all balancers and targets together breaks and cuts nothing."""
+        """Replacing all balancers and targets at once breaks no flow or request."""
         deployment = await self._start("127.83.2", maps=2, logs=1)
         load = self._load(deployment)
         load.start(streams=10, readers=5, uploaders=1)
@@ -97,8 +97,8 @@
         await asyncio.sleep(0.5)
         await self._finish(load, deployment)
 
-    async def test_disturbed_fabric(self):
-        """Duplicates, reordering and 5 % loss change no outcome."""
+    async def test_unreliable_fabric(self):
+        """Duplicated, reordered and lost packets change no outcome."""
         deployment = await self._start("127.83.3", maps=2, logs=1)
         await deployment.fault(
             deployment.fabric_url, duplicate=0.1, reorder=0.3, drop=0.05
@@ -111,10 +111,10 @@
 
 
 class AgentFailureTests(_Case):
-    """Agents that die, freeze and leave."""
+    """Agents that are killed, suspended and drained."""
 
     async def test_killed_and_replaced_at_the_same_address(self):
-        """Work whose agent died may have run, is said so, and isn't run again."""
+        """A request whose agent was killed may have run, so it is not repeated."""
         deployment = await self._start("127.83.4", maps=1)
         await deployment.target_fault("maps-1", slow_factor=100.0)
         load = self._load(deployment)
@@ -139,8 +139,8 @@
         self.assertEqual(judgement.false_not_run, 0)
         self.assertEqual(len(deployment.runs()), 2)
 
-    async def test_frozen_and_woken(self):
-        """An agent that was frozen and woken runs nothing twice."""
+    async def test_suspended_and_resumed(self):
+        """An agent that was suspended and resumed runs no request twice."""
         deployment = await self._start("127.83.5", maps=2)
         load = self._load(deployment)
         load.start(streams=4, readers=8, uploaders=0)
@@ -159,7 +159,7 @@
         self.assertFalse([s.faults for s in load.streams if s.faults])
 
     async def test_drain(self):
-        """A drained target gets no new work after seconds and cuts nothing."""
+        """A drained target soon gets no new work and finishes what it has."""
         deployment = await self._start("127.83.6", maps=2)
         load = self._load(deployment)
         load.start(streams=10, readers=8, uploaders=0)
@@ -180,10 +180,10 @@
 
 
 class PlatformFailureTests(_Case):
-    """The platform down, restored to an older state, and raced for."""
+    """Outages and restores of the platform's store, and concurrent changes."""
 
     async def test_outage_and_restore(self):
-        """Work goes on; new processes learn from peers; nothing reverts."""
+        """New processes learn from peers in an outage; a restore reverts nothing."""
         deployment = await self._start("127.83.7")
         folder = str(deployment.write_services(queue_per_slot=5))
         status, _, err = await deployment.operate("apply", folder, "--wait")
@@ -200,7 +200,7 @@
         status, _, err = await deployment.operate("apply", folder)
         self.assertEqual(status, Exit.UNAVAILABLE)
         self.assertNotIn("Traceback", err)
-        # A platform restored from nothing: its versions begin again.
+        # The restored platform is empty, so its revisions start again.
         await deployment.start_platform()
         version = "monsoonpier_configuration_version"
         self.assertEqual((await deployment.metrics("b3"))[version], 2.0)
@@ -223,8 +223,8 @@
             await platform.close()
         return list(found.values_by_key)
 
-    async def test_lost_answer_and_races(self):
-        """Lost answers are resolved, and 50 races have one winner each."""
+    async def test_lost_responses_and_concurrent_changes(self):
+        """Lost responses are resolved; of two concurrent changes one is accepted."""
         deployment = Deployment(net="127.83.8")
         await self.enterAsyncContext(deployment)
         await deployment.start_platform()
@@ -270,10 +270,10 @@
 
 
 class CommandLineTests(_Case):
-    """What a person can get wrong ends with one clear line and a status."""
+    """Operator mistakes give a clear message and an exit status."""
 
     async def test_operators_mistakes(self):
-        """Bad files, settings and ports give findings and no traceback."""
+        """Invalid files and an unreachable platform give messages, no traceback."""
         deployment = Deployment(net="127.83.9")
         await self.enterAsyncContext(deployment)
         bad = deployment.folder / "bad.yaml"
@@ -303,8 +303,8 @@
         status = await node.wait()
         return status, "", node.log.read_text()
 
-    async def test_port_taken(self):
-        """A port that is taken ends a process with one line and a status."""
+    async def test_port_in_use(self):
+        """A process whose port is in use exits with a message and a status."""
         deployment = Deployment(net="127.83.10")
         await self.enterAsyncContext(deployment)
         await deployment.start_surroundings()
--- a/tests/process/test_logs.py
+++ b/tests/process/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs are bounded and never wait for their reader."""
+"""Log writing never blocks and is limited in rate."""
 
 import os
 import unittest
@@ -9,14 +9,14 @@
     MAX_KEPT_BYTES,
     MAX_LINE_BYTES,
     DecisionLog,
-    FloodGate,
     LineWriter,
+    LogRateLimiter,
     flow_name,
 )
 
 
 class LineWriterTests(unittest.TestCase):
-    """Lines to a pipe whose reader may have stopped."""
+    """Lines written to a pipe whose reader may be stalled."""
 
     def setUp(self) -> None:
         self.reader, self.descriptor = os.pipe()
@@ -26,8 +26,8 @@
     def tearDown(self) -> None:
         os.close(self.descriptor)
 
-    def test_reader_that_has_stopped(self) -> None:
-        """Lines are kept up to a bound and then dropped; nothing blocks."""
+    def test_stalled_reader(self) -> None:
+        """Lines are queued up to a limit and then dropped, without blocking."""
         line = "x" * 999
         for _ in range(2_000):
             self.writer.msg(line)
@@ -36,19 +36,19 @@
         for _ in range(10):
             text += os.read(self.reader, 65_536)
             self.writer.msg("again")
-        kept = text.count(line.encode() + b"\n")
-        self.assertGreater(kept, MAX_KEPT_BYTES // 1_000)
-        self.assertGreaterEqual(kept + self.writer.dropped, 2_000)
+        received = text.count(line.encode() + b"\n")
+        self.assertGreater(received, MAX_KEPT_BYTES // 1_000)
+        self.assertGreaterEqual(received + self.writer.dropped, 2_000)
 
     def test_long_line(self) -> None:
-        """A line is cut to what a pipe takes in one piece."""
+        """A line is truncated to what a pipe takes in one write."""
         self.writer.msg("y" * 10_000)
         data = os.read(self.reader, 65_536)
         self.assertEqual(len(data), MAX_LINE_BYTES)
         self.assertTrue(data.endswith(b"\n"))
 
     def test_closed_pipe(self) -> None:
-        """A reader that has gone doesn't end the process."""
+        """A closed pipe does not raise."""
         reader, descriptor = os.pipe()
         self.addCleanup(os.close, descriptor)
         os.close(reader)
@@ -58,20 +58,20 @@
         self.assertLessEqual(writer.dropped, 3)
 
 
-class FloodTests(unittest.TestCase):
-    """Lines of one event in one period."""
+class RateLimitTests(unittest.TestCase):
+    """The limit of lines per event and period."""
 
-    def test_cut_and_counted(self) -> None:
-        """What is cut is counted in the next period's first line."""
-        gate = FloodGate()
-        passed = [gate.suppressed("placed", now=1.0) for _ in range(FLOOD_LIMIT + 5)]
+    def test_suppressed_lines_are_counted(self) -> None:
+        """The first line of a period has the number suppressed in the last one."""
+        limiter = LogRateLimiter()
+        passed = [limiter.count("placed", now=1.0) for _ in range(FLOOD_LIMIT + 5)]
         self.assertEqual(passed, [0] * FLOOD_LIMIT + [None] * 5)
-        self.assertEqual(gate.suppressed("other", now=1.0), 0)
+        self.assertEqual(limiter.count("other", now=1.0), 0)
         later = 1.0 + FLOOD_PERIOD_SECONDS
-        self.assertEqual(gate.suppressed("placed", now=later), 5)
+        self.assertEqual(limiter.count("placed", now=later), 5)
 
     def test_decision(self) -> None:
-        """A decision's line names the flow as operators know it."""
+        """A decision's line names the flow by its addresses."""
         flow = bytes((100, 64, 0, 7, 198, 18, 0, 1)) + bytes.fromhex("9c4101bb")
         self.assertEqual(flow_name(flow), "100.64.0.7:40001>198.18.0.1:443")
         DecisionLog("tests").note("flow placed", now=1.0, flow=flow, target="maps-1")
--- a/tests/process/test_readings.py
+++ b/tests/process/test_readings.py
@@ -1,4 +1,4 @@
-"""Readings as Prometheus reads them."""
+"""Export of metrics in the Prometheus text format."""
 
 import unittest
 
@@ -7,10 +7,10 @@
 
 
 class ExpositionTests(unittest.TestCase):
-    """Gauges, counters and histograms in the text format."""
+    """The text of gauges, counters and histograms."""
 
     def test_text(self) -> None:
-        """Each reading stands with its prefix; buckets add up."""
+        """Names have the prefix, and histogram buckets are cumulative."""
         times = Histogram(name="wait_seconds", help="Waits.")
         for seconds in (0.0005, 0.003, 0.003, 60.0):
             times.observe(seconds)
