--- a/monsoonpier/link/__init__.py
+++ b/monsoonpier/link/__init__.py
@@ -1,1 +1,1 @@
-"""Sending by what a machine's link carries: nothing is lost to our own bursts."""
+"""Pacing of outgoing datagrams to the rate of the machine's link."""
--- a/monsoonpier/link/schedule.py
+++ b/monsoonpier/link/schedule.py
@@ -1,10 +1,8 @@
-"""Which datagram leaves next on a narrow link, and when. Does no I/O.
+"""Order and pace of the datagrams that leave on a link of limited rate.
 
-The load that it answers: callers send a window of 16 packets within 2 ms, a balancer
-passes all of them on at once, and its link of 2 Mbit/s, which queues 50 ms, loses
-seven. Each is repeated after 0.2 s and more, and new flows, heartbeats and questions
-are lost in the same queue. So datagrams wait here, where they have an order, and
-leave no faster than the link carries them.
+Callers send whole windows in a burst. Forwarded at once, a burst overflows the queue
+of a slow link, which loses packets and control messages alike. So datagrams are queued
+here by priority and released no faster than the link's rate. This module does no I/O.
 """
 
 from collections import Counter, OrderedDict, deque
@@ -15,30 +13,29 @@
 
 __all__ = ["Datagram", "LinkSchedule", "Urgency"]
 
-# Of the link's rate: what leaves a little too slowly never queues in the network, and
-# headers of layers that aren't seen here have room.
+# Fraction of the link's rate that is used, so that no queue builds up in the network
+# and headers of lower layers have room.
 RATE_SHARE = 0.95
 HEADER_BYTES = 28  # of IPv4 and UDP
-# What may be on the link ahead of its rate. A process is woken late by a timer's tick
-# (1 ms) and by its share of a processor; links queue ten times as long.
+# Burst that may exceed the rate, in seconds of the link's time. It covers late wake-ups
+# of the process and is shorter than the queue of a link.
 AHEAD_SECONDS = 0.005
-# Callers repeat a packet 0.2 s and 0.6 s after they sent it first: what has waited for
-# longer is on its way here for the third time.
+# Callers retransmit a packet 0.2 s and 0.6 s after the first one. A packet that waited
+# longer has been retransmitted twice.
 MAX_WAIT_SECONDS = 0.6
-# 200 callers' windows at once are 4 MB; the smallest VMs have 104 MB.
-MAX_KEPT_BYTES = 8 * 1_048_576
-# Datagrams below it go before larger ones: a new flow, a request or an acknowledgement
-# takes 0.1 of a whole packet's time on the link.
+MAX_KEPT_BYTES = 8 * 1_048_576  # limit of queued bytes at any rate of the link
+# Smaller datagrams (new flows, requests, acknowledgements) go before larger ones.
 SMALL_BYTES = 500
-# While small ones never cease, a large one follows each three: uploads go on.
+# After this many small datagrams a waiting large one goes first, so that uploads make
+# progress.
 SMALL_RUN = 3
 
 
 class Urgency(IntEnum):
-    """What goes first.
+    """Priority of a datagram; lower values are sent first.
 
-    Control says who lives and what is in force: late, it would look like the death
-    of a target or a balancer, so it is never dropped for others.
+    Control messages include heartbeats. A late one looks like the failure of a target
+    or balancer, so control is dropped last.
     """
 
     CONTROL = 0
@@ -47,20 +44,20 @@
 
     @classmethod
     def by_size(cls, size: int) -> "Urgency":
-        """Return the urgency of a packet of a flow."""
+        """Return the urgency of a flow's packet of ``size`` bytes."""
         return cls.SMALL if size < SMALL_BYTES else cls.BULK
 
 
 class Datagram(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """One datagram on its way out.
+    """An outgoing datagram.
 
     Attributes:
-        data: What is sent.
-        endpoint: Where to.
-        urgency: What it may overtake; packets of one flow never overtake another.
-        flow: The flow that it belongs to, empty if to none.
-        kept_at: Since when it waits, in seconds.
-        socket: What it leaves through.
+        data: The payload.
+        endpoint: The destination's IP address and port.
+        urgency: The priority; packets of one flow stay in order all the same.
+        flow: The flow that it belongs to; empty if none.
+        kept_at: The time at which it was queued, in seconds.
+        socket: The socket to send through.
     """
 
     data: bytes
@@ -72,7 +69,7 @@
 
 
 class _Queue:
-    """Datagrams of one urgency; flows take turns, a packet each."""
+    """Datagrams of one urgency, taken round robin by flow."""
 
     def __init__(self) -> None:
         self._waiting_by_flow: OrderedDict[object, deque[Datagram]] = OrderedDict()
@@ -85,7 +82,7 @@
         self._waiting_by_flow.setdefault(key, deque()).append(datagram)
 
     def pop(self) -> Datagram:
-        """Return the next one; its flow's turn comes again after all others'."""
+        """Remove the next datagram; move its flow behind all others."""
         key, waiting = self._waiting_by_flow.popitem(last=False)
         datagram = waiting.popleft()
         if waiting:
@@ -93,7 +90,7 @@
         return datagram
 
     def pop_last_of_longest(self) -> Datagram:
-        """Return the newest datagram of the flow that has most waiting."""
+        """Remove the newest datagram of the flow with the most datagrams."""
         waiting_by_flow = self._waiting_by_flow
         key = max(waiting_by_flow, key=lambda key: len(waiting_by_flow[key]))
         waiting = waiting_by_flow[key]
@@ -104,12 +101,12 @@
 
 
 class LinkSchedule:
-    """Keeps to a link's rate by a token bucket, and orders what has to wait.
+    """A token bucket for the link's rate with priority queues behind it.
 
-    Control goes first, then small datagrams, then large ones; flows of one urgency
-    take turns. What exceeds `MAX_WAIT_SECONDS` of the link is dropped, the newest of
-    the longest flow of the least urgent first: its sender repeats it. A copy of what
-    still waits is not kept twice.
+    Control is sent first, then small datagrams, then large ones; flows of one urgency
+    take turns. If more is queued than the link sends in `MAX_WAIT_SECONDS`, the newest
+    datagram of the longest flow of the lowest priority is dropped, as its sender
+    retransmits it. Duplicates of queued datagrams are dropped.
 
     Args:
         bits_per_second: The link's rate, above 0.
@@ -118,94 +115,99 @@
     def __init__(self, *, bits_per_second: float) -> None:
         assert bits_per_second > 0
         self._bytes_per_second = RATE_SHARE * bits_per_second / 8
-        self._most_bytes = min(
+        self._max_bytes = min(
             MAX_KEPT_BYTES, int(MAX_WAIT_SECONDS * self._bytes_per_second)
         )
-        self._free_at = 0.0  # when the link has carried all that has left
+        self._free_at = 0.0  # time at which the link has sent everything released
         self._queues = tuple(_Queue() for _ in Urgency)
-        self._kept: set[tuple[tuple[str, int], bytes]] = set()
-        self._kept_by_flow: Counter[bytes] = Counter()
+        # Contents of all queued datagrams, to find duplicates.
+        self._queued: set[tuple[tuple[str, int], bytes]] = set()
+        self._queued_by_flow: Counter[bytes] = Counter()
         self._urgency_by_flow: dict[bytes, Urgency] = {}
-        self._small_run = 0
+        self._small_run = 0  # small datagrams sent since the last large one
         self.kept_bytes = 0
         self.dropped_by_reason: Counter[str] = Counter()
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._queued)
 
     def admits(self, size: int, *, now: float) -> bool:
-        """Tell whether a datagram of ``size`` bytes leaves now, and count it if so."""
-        if self._kept or self._free_at - now > AHEAD_SECONDS:
+        """Return whether ``size`` bytes may be sent now; if so, take the tokens."""
+        if self._queued or self._free_at - now > AHEAD_SECONDS:
             return False
-        self._left(size, now=now)
+        self._take_tokens(size, now=now)
         return True
 
     def keep(self, datagram: Datagram) -> None:
-        """Let a datagram wait for its turn, or drop what has no room."""
-        copy = (datagram.endpoint, datagram.data)
-        if copy in self._kept:
+        """Queue a datagram; drop datagrams if the queues are over their limit."""
+        content = (datagram.endpoint, datagram.data)
+        if content in self._queued:
             self.dropped_by_reason["copy"] += 1
             return
-        self._kept.add(copy)
+        self._queued.add(content)
         self.kept_bytes += _size(datagram.data)
-        self._queues[self._queue_of(datagram)].append(datagram)
-        while self.kept_bytes > self._most_bytes and self._drop_one():
+        self._queues[self._assign_queue(datagram)].append(datagram)
+        while self.kept_bytes > self._max_bytes and self._drop_one():
             pass
 
     def due(self, *, now: float) -> Iterator[Datagram]:
-        """Yield what leaves now, in its order."""
-        while self._kept and self._free_at - now <= AHEAD_SECONDS:
-            datagram = self._take()
+        """Remove and yield the datagrams to send now, in order."""
+        while self._queued and self._free_at - now <= AHEAD_SECONDS:
+            datagram = self._pop_next()
             if now - datagram.kept_at > MAX_WAIT_SECONDS and _may_drop(datagram):
                 self.dropped_by_reason["waited too long"] += 1
                 continue
-            self._left(len(datagram.data), now=now)
+            self._take_tokens(len(datagram.data), now=now)
             yield datagram
 
     def wait_seconds(self, *, now: float) -> float:
-        """Return how long nothing more can leave."""
+        """Return the seconds until the next datagram may be sent."""
         return max(0.0, self._free_at - AHEAD_SECONDS - now)
 
-    def _left(self, size: int, *, now: float) -> None:
+    def _take_tokens(self, size: int, *, now: float) -> None:
         seconds = (size + HEADER_BYTES) / self._bytes_per_second
         self._free_at = max(self._free_at, now) + seconds
 
-    def _queue_of(self, datagram: Datagram) -> Urgency:
-        """Return where it waits: behind its flow's packets, if some do."""
+    def _assign_queue(self, datagram: Datagram) -> Urgency:
+        """Count a datagram for its flow and return the queue to put it in.
+
+        That is the queue of the flow's other datagrams, if any, to keep their order.
+        """
         flow = datagram.flow
         if not flow:
             return datagram.urgency
-        self._kept_by_flow[flow] += 1
+        self._queued_by_flow[flow] += 1
         return self._urgency_by_flow.setdefault(flow, datagram.urgency)
 
-    def _take(self) -> Datagram:
+    def _pop_next(self) -> Datagram:
         control, small, bulk = self._queues
         if control:
-            return self._forget(control.pop())
-        is_bulks_turn = bulk and self._small_run >= SMALL_RUN
-        if small and not is_bulks_turn:
+            return self._untrack(control.pop())
+        is_bulk_turn = bulk and self._small_run >= SMALL_RUN
+        if small and not is_bulk_turn:
             self._small_run += 1
-            return self._forget(small.pop())
+            return self._untrack(small.pop())
         self._small_run = 0
-        return self._forget(bulk.pop())
+        return self._untrack(bulk.pop())
 
     def _drop_one(self) -> bool:
-        """Drop what its sender repeats; control only where nothing else waits."""
+        """Drop one datagram, control last; return whether there was any."""
         for urgency in reversed(Urgency):
             if self._queues[urgency]:
-                self._forget(self._queues[urgency].pop_last_of_longest())
+                self._untrack(self._queues[urgency].pop_last_of_longest())
                 self.dropped_by_reason["link full"] += 1
                 return True
         return False
 
-    def _forget(self, datagram: Datagram) -> Datagram:
-        self._kept.discard((datagram.endpoint, datagram.data))
+    def _untrack(self, datagram: Datagram) -> Datagram:
+        """Remove a datagram that left its queue from all counts; return it."""
+        self._queued.discard((datagram.endpoint, datagram.data))
         self.kept_bytes -= _size(datagram.data)
         flow = datagram.flow
         if flow:
-            self._kept_by_flow[flow] -= 1
-            if not self._kept_by_flow[flow]:
-                del self._kept_by_flow[flow]
+            self._queued_by_flow[flow] -= 1
+            if not self._queued_by_flow[flow]:
+                del self._queued_by_flow[flow]
                 del self._urgency_by_flow[flow]
         return datagram
 
--- a/monsoonpier/link/sender.py
+++ b/monsoonpier/link/sender.py
@@ -1,4 +1,4 @@
-"""What a process sends by: its sockets behind the schedule of its link."""
+"""Sending of datagrams through a process's sockets at the link's rate."""
 
 import asyncio
 import time
@@ -11,16 +11,15 @@
 
 __all__ = ["LinkSender"]
 
-NOTE_SECONDS = 1.0  # between two lines about drops
+NOTE_SECONDS = 1.0  # least time between two log lines about drops
 _log = structlog.get_logger("monsoonpier.link.sender")
 
 
 class LinkSender:
-    """Sends through any of a process's sockets, no faster than its link carries.
+    """Sends through any of a process's sockets, paced to the link's rate.
 
     Args:
-        bits_per_second: The link's rate; ``None`` if it isn't known, and then all
-            leaves at once.
+        bits_per_second: The link's rate, or ``None`` to send without pacing.
     """
 
     def __init__(self, *, bits_per_second: float | None) -> None:
@@ -28,12 +27,12 @@
         if bits_per_second is not None:
             self._schedule = LinkSchedule(bits_per_second=bits_per_second)
         self._timer: asyncio.TimerHandle | None = None
-        self._noted_at = 0.0
-        self._noted_drops = 0
+        self._logged_at = 0.0
+        self._logged_drops = 0
         self._wait_seconds = Histogram(
-            name="link_wait_seconds", help="Datagrams that waited for the link."
+            name="link_wait_seconds", help="Time that queued datagrams waited."
         )
-        self._kept_by_urgency = {urgency.name.lower(): 0 for urgency in Urgency}
+        self._queued_by_urgency = {urgency.name.lower(): 0 for urgency in Urgency}
 
     def send(
         self,
@@ -44,7 +43,7 @@
         urgency: Urgency,
         flow: bytes = b"",
     ) -> None:
-        """Send a datagram now, or when the link has room for it."""
+        """Send a datagram now, or queue it until the link is free."""
         schedule = self._schedule
         if schedule is None:
             socket.send(data, endpoint)
@@ -53,7 +52,7 @@
         if schedule.admits(len(data), now=now):
             socket.send(data, endpoint)
             return
-        self._kept_by_urgency[urgency.name.lower()] += 1
+        self._queued_by_urgency[urgency.name.lower()] += 1
         schedule.keep(
             Datagram(
                 data=data,
@@ -64,24 +63,26 @@
                 socket=socket,
             )
         )
-        self._note_drops(now=now)
+        self._log_drops(now=now)
         if self._timer is None:
-            self._wait(now=now)
+            self._schedule_release(now=now)
 
     @property
     def readings(self) -> tuple[Reading, ...]:
-        """What waited and what was dropped; nothing where no rate is known."""
+        """Metrics of queued and dropped datagrams; none without pacing."""
         if self._schedule is None:
             return ()
         drops = self._schedule.dropped_by_reason
         return (
-            gauge("link_kept_bytes", "What waits now.", self._schedule.kept_bytes),
-            counter("link_kept", "What had to wait.", self._kept_by_urgency, "urgency"),
-            counter("link_dropped", "What had no room on the link.", drops, "reason"),
+            gauge("link_kept_bytes", "Bytes queued now.", self._schedule.kept_bytes),
+            counter(
+                "link_kept", "Datagrams queued.", self._queued_by_urgency, "urgency"
+            ),
+            counter("link_dropped", "Datagrams dropped.", drops, "reason"),
             self._wait_seconds,
         )
 
-    def _wait(self, *, now: float) -> None:
+    def _schedule_release(self, *, now: float) -> None:
         assert self._schedule is not None
         seconds = self._schedule.wait_seconds(now=now)
         self._timer = asyncio.get_running_loop().call_later(seconds, self._release)
@@ -93,24 +94,24 @@
         for datagram in self._schedule.due(now=now):
             self._wait_seconds.observe(now - datagram.kept_at)
             datagram.socket.send(datagram.data, datagram.endpoint)
-        self._note_drops(now=now)
+        self._log_drops(now=now)
         if len(self._schedule):
-            self._wait(now=now)
+            self._schedule_release(now=now)
 
-    def _note_drops(self, *, now: float) -> None:
-        """Leave a line about drops, one a second at the most."""
+    def _log_drops(self, *, now: float) -> None:
+        """Log new drops, at most one line per `NOTE_SECONDS`."""
         assert self._schedule is not None
         drops = self._schedule.dropped_by_reason
-        if now - self._noted_at < NOTE_SECONDS or drops.total() == self._noted_drops:
+        if now - self._logged_at < NOTE_SECONDS or drops.total() == self._logged_drops:
             return
         _log.warning(
             "link full",
-            dropped=drops.total() - self._noted_drops,
+            dropped=drops.total() - self._logged_drops,
             kept=len(self._schedule),
             kept_bytes=self._schedule.kept_bytes,
         )
-        self._noted_at = now
-        self._noted_drops = drops.total()
+        self._logged_at = now
+        self._logged_drops = drops.total()
 
 
 def _now() -> float:
--- a/tests/link/__init__.py
+++ b/tests/link/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of sending by link."""
+"""Tests of the link's pacing."""
