--- a/monsoonpier/documents/__init__.py
+++ b/monsoonpier/documents/__init__.py
@@ -1,1 +1,1 @@
-"""Files that people write: settings of a process, configuration of services."""
+"""Parsing and checking of settings files and service configuration files."""
--- a/monsoonpier/documents/configuration.py
+++ b/monsoonpier/documents/configuration.py
@@ -1,4 +1,4 @@
-"""Operators' files: parsed and checked as a set, whole or not at all."""
+"""Parsing and checking of a set of operators' service files."""
 
 import json
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from monsoonpier.documents.marked import MarkedDocument, read_document
+from monsoonpier.documents.yaml_document import YamlDocument, read_document
 from monsoonpier.model.address import Address
 from monsoonpier.model.findings import Finding, Place
 from monsoonpier.model.service import (
@@ -20,33 +20,35 @@
 __all__ = ["ParsedFiles", "difference", "parse_files", "read_files"]
 
 MAX_FILES = 200
-# The platform holds values up to a megabyte, and the services that the files
-# declare are stored beside them.
+# The platform's store limits a value to one megabyte. A value holds the files and the
+# services that they declare.
 MAX_SET_BYTES = 300_000
 MAX_STORED_BYTES = 950_000
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ParsedFiles:
-    """A set of files as services, or all that is wrong with it."""
+    """The services that a set of files declares, or all problems found."""
 
     services_by_name: dict[str, Service] = field(default_factory=dict)
     findings: tuple[Finding, ...] = ()
 
 
 def read_files(paths: Iterable[Path]) -> tuple[dict[str, str], list[Finding]]:
-    """Return the texts by file name; a folder stands for its YAML files."""
+    """Read files, and all YAML files of folders; return texts by file name."""
     texts_by_name: dict[str, str] = {}
     findings: list[Finding] = []
     for path in paths:
         files = sorted(path.glob("*.y*ml")) if path.is_dir() else [path]
         if not files:
             place = Place(file=str(path))
-            findings.append(Finding(place=place, problem="no YAML files in it"))
+            findings.append(
+                Finding(place=place, problem="the folder has no YAML files")
+            )
         for file in files:
             place = Place(file=str(file))
             if file.name in texts_by_name:
-                problem = f"a second file is named {file.name!r}"
+                problem = f"another file has the same name {file.name!r}"
                 findings.append(Finding(place=place, problem=problem))
                 continue
             try:
@@ -58,19 +60,19 @@
 
 
 def parse_files(texts_by_name: dict[str, str]) -> ParsedFiles:
-    """Check a whole set of files and return its services."""
+    """Parse and check a set of files; return its services or all findings."""
     findings = _check_size(texts_by_name)
     if findings:
         return ParsedFiles(findings=tuple(findings))
     documents = []
     for name, text in sorted(texts_by_name.items()):
-        document, wrong = read_document(text, file=name)
-        wrong = wrong or document.check("configuration")
-        findings += wrong
-        if not wrong:
+        document, problems = read_document(text, file=name)
+        problems = problems or document.check("configuration")
+        findings += problems
+        if not problems:
             documents.append(document)
-    services_by_name, clashes = _merge(documents)
-    findings += clashes
+    services_by_name, conflicts = _merge(documents)
+    findings += conflicts
     findings = findings or _check_stored(services_by_name, texts_by_name)
     if findings:
         return ParsedFiles(findings=tuple(findings))
@@ -78,20 +80,23 @@
 
 
 def difference(old: dict[str, Service], new: dict[str, Service]) -> list[str]:
-    """Return a line for each service or part of one that differs."""
+    """Return a line for each service added, removed or changed.
+
+    Changes are listed by part of the service.
+    """
     lines = [f"+ {name}: {_describe(new[name])}" for name in sorted(new.keys() - old)]
     lines += [f"- {name}: {_describe(old[name])}" for name in sorted(old.keys() - new)]
     for name in sorted(old.keys() & new.keys()):
-        before, after = _parts(old[name]), _parts(new[name])
+        before, after = _describe_parts(old[name]), _describe_parts(new[name])
         for key in sorted(before.keys() | after.keys()):
-            was, is_now = before.get(key, "none"), after.get(key, "none")
-            if was != is_now:
-                lines.append(f"~ {name}.{key}: {was} -> {is_now}")
+            old_text, new_text = before.get(key, "none"), after.get(key, "none")
+            if old_text != new_text:
+                lines.append(f"~ {name}.{key}: {old_text} -> {new_text}")
     return lines
 
 
-def _parts(service: Service) -> dict[str, str]:
-    """Return the text of each part of a service, by its path in the file."""
+def _describe_parts(service: Service) -> dict[str, str]:
+    """Return each part of a service as text, by its path in the file."""
     limits = service.limits
     parts = {
         "address": str(service.address),
@@ -118,7 +123,7 @@
     size = len(json.dumps(texts_by_name).encode())
     if size > MAX_SET_BYTES:
         problem = f"the set takes {size} bytes"
-        hint = f"{MAX_SET_BYTES} at the most"
+        hint = f"at most {MAX_SET_BYTES}"
         findings.append(Finding(place=Place(file="(set)"), problem=problem, hint=hint))
     return findings
 
@@ -126,19 +131,19 @@
 def _check_stored(
     services_by_name: dict[str, Service], texts_by_name: dict[str, str]
 ) -> list[Finding]:
-    """Find a set whose services, beside its files, outgrow the platform's value."""
+    """Check that the files and their services fit into one stored value."""
     size = len(json.dumps(texts_by_name)) + len(msgspec.json.encode(services_by_name))
     if size <= MAX_STORED_BYTES:
         return []
     problem = f"the set and its services take {size} bytes"
-    hint = f"{MAX_STORED_BYTES} at the most"
+    hint = f"at most {MAX_STORED_BYTES}"
     return [Finding(place=Place(file="(set)"), problem=problem, hint=hint)]
 
 
 def _merge(
-    documents: list[MarkedDocument],
+    documents: list[YamlDocument],
 ) -> tuple[dict[str, Service], list[Finding]]:
-    """Join the files' services; report what clashes between them."""
+    """Join the services of all files; report conflicts between them."""
     services_by_name: dict[str, Service] = {}
     places_by_name: dict[str, Place] = {}
     names_by_address: dict[Address, str] = {}
@@ -165,18 +170,18 @@
                 )
             names_by_address.setdefault(address, name)
             places_by_name[name] = place
-            services_by_name[name] = _service(name, raw, address)
-            findings += _overlaps(name, raw, document, services_by_name)
+            services_by_name[name] = _build_service(name, raw, address)
+            findings += _find_overlaps(name, raw, document, services_by_name)
     return services_by_name, findings
 
 
-def _overlaps(
+def _find_overlaps(
     name: str,
     raw: dict,
-    document: MarkedDocument,
+    document: YamlDocument,
     services_by_name: dict[str, Service],
 ) -> list[Finding]:
-    """Report targets named outright that another service allows as well."""
+    """Report targets of a service that another service allows as well."""
     findings = []
     for other in services_by_name.values():
         if other.name == name:
@@ -192,7 +197,7 @@
     return findings
 
 
-def _service(name: str, raw: dict, address: Address) -> Service:
+def _build_service(name: str, raw: dict, address: Address) -> Service:
     kinds_by_name = {
         kind: Kind(name=kind, **options) for kind, options in raw["kinds"].items()
     }
--- a/monsoonpier/documents/settings.py
+++ b/monsoonpier/documents/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process: a YAML file, and environment variables over it."""
+"""Loading of a process's settings from a YAML file and the environment."""
 
 import ipaddress
 import math
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from monsoonpier.documents.marked import MarkedDocument, read_document
+from monsoonpier.documents.yaml_document import YamlDocument, read_document
 from monsoonpier.model.address import Address
 from monsoonpier.model.findings import Finding, Place
 from monsoonpier.model.keys import Key, KeyRing
@@ -26,7 +26,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LoadedSettings:
-    """Settings, or all that is wrong with them."""
+    """Settings, or all problems found.
+
+    Attributes:
+        settings: The settings; ``None`` if there are findings.
+        findings: All problems found.
+        masked: The file's content with secrets masked, for printing.
+    """
 
     settings: Settings | None = None
     findings: tuple[Finding, ...] = ()
@@ -36,7 +42,7 @@
 def load_settings(
     file: Path, *, role: str, environment: Mapping[str, str] = os.environ
 ) -> LoadedSettings:
-    """Read and check a settings file for a process of that role."""
+    """Read and check the settings file of a process with a role."""
     try:
         text = file.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -48,7 +54,7 @@
         findings.append(Finding(place=document.place(()), problem="must be a mapping"))
         return LoadedSettings(findings=tuple(findings))
     if not findings:
-        document, findings = _with_environment(document, environment)
+        document, findings = _apply_environment(document, environment)
     if not findings:
         findings = document.check("settings") + _check_role(document, role)
     if not findings:
@@ -60,10 +66,10 @@
     )
 
 
-def _with_environment(
-    document: MarkedDocument, environment: Mapping[str, str]
-) -> tuple[MarkedDocument, list[Finding]]:
-    """Lay variables such as ``MONSOONPIER_NAME`` over the file's keys."""
+def _apply_environment(
+    document: YamlDocument, environment: Mapping[str, str]
+) -> tuple[YamlDocument, list[Finding]]:
+    """Override the file's keys with variables such as ``MONSOONPIER_NAME``."""
     content = dict(document.content)
     places = dict(document.places_by_path)
     findings: list[Finding] = []
@@ -71,22 +77,22 @@
         if not variable.startswith(ENVIRONMENT_PREFIX):
             continue
         key = variable.removeprefix(ENVIRONMENT_PREFIX).lower()
-        value, wrong = read_document(environment[variable], file=variable)
-        findings += wrong
+        value, problems = read_document(environment[variable], file=variable)
+        findings += problems
         content[key] = value.content
         places[(key,)] = Place(file=variable)
-    merged = MarkedDocument(file=document.file, content=content, places_by_path=places)
+    merged = YamlDocument(file=document.file, content=content, places_by_path=places)
     return merged, findings
 
 
-def _check_role(document: MarkedDocument, role: str) -> list[Finding]:
+def _check_role(document: YamlDocument, role: str) -> list[Finding]:
     content = document.content
     findings = []
     if content.get("role") not in (role, None):
         findings.append(
             Finding(
                 place=document.place(("role",)),
-                problem=f"these are settings of a process of role {content['role']!r}",
+                problem=f"these settings are for role {content['role']!r}",
                 hint=f"this command needs role: {role}",
             )
         )
@@ -101,8 +107,8 @@
     return findings
 
 
-def _check_values(document: MarkedDocument) -> list[Finding]:
-    """Find what a pattern can't: numbers out of range, and clashes."""
+def _check_values(document: YamlDocument) -> list[Finding]:
+    """Check what the schema can't: invalid addresses, and conflicts of values."""
     content = document.content
     findings = []
     for path, text in _addresses(content):
--- a/monsoonpier/documents/stored.py
+++ b/monsoonpier/documents/stored.py
@@ -1,8 +1,7 @@
-"""The configuration as the platform stores it and processes pass it on.
+"""The configuration as stored on the platform and sent between processes.
 
-Processes read the services that were checked when they were accepted. They
-don't parse the files again: that takes half a second of a balancer's time for
-320 services, in which it would pass nothing.
+It contains the services as they were checked when the configuration was accepted, so
+that processes need not parse the files again, which would block a balancer.
 """
 
 import zlib
@@ -20,11 +19,11 @@
     "unstore",
 ]
 
-MAX_UNPACKED_BYTES = 2 * 1_048_576
+MAX_UNPACKED_BYTES = 2 * 1_048_576  # limit of decompression
 
 
 class Stored(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """The platform's value: the files as written, and what they declare."""
+    """The stored value: the files as written, and the services they declare."""
 
     version: int
     apply_id: str
@@ -39,57 +38,57 @@
 
 
 def encode_stored(stored: Stored) -> bytes:
-    """Return the platform's value."""
+    """Encode a configuration as a stored value."""
     return _encode(stored)
 
 
 def decode_stored(value: bytes) -> Stored:
-    """Return what the platform's value holds.
+    """Decode a stored value.
 
     Raises:
-        ValueError: If it is not one that an operator's command stored.
+        ValueError: If it is not a valid stored configuration.
     """
     try:
         return _decode(value)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        raise ValueError(f"not a stored configuration: {error}") from error
+        raise ValueError(f"invalid stored configuration: {error}") from error
 
 
 def unstore(value: bytes) -> Configuration:
-    """Return the configuration in a stored value.
+    """Decode the version and services of a stored value.
 
     Raises:
-        ValueError: If it is not one that an operator's command stored.
+        ValueError: If it is not a valid stored configuration.
     """
     stored = decode_stored(value)
     return Configuration(version=stored.version, services_by_name=stored.services)
 
 
 def pack(value: bytes, *, service: str = "") -> bytes:
-    """Return a stored value compressed, cut down to one service if named.
+    """Compress a stored value, reduced to one service if one is named.
 
     Raises:
-        ValueError: If the value is not one that an operator's command stored.
+        ValueError: If the value is not a valid stored configuration.
     """
     if service:
         stored = decode_stored(value)
         services = {n: s for n, s in stored.services.items() if n == service}
-        cut = msgspec.structs.replace(stored, files={}, services=services)
-        value = encode_stored(cut)
+        reduced = msgspec.structs.replace(stored, files={}, services=services)
+        value = encode_stored(reduced)
     return zlib.compress(value)
 
 
 def unpack(packed: bytes) -> bytes:
-    """Return the stored value that a peer has packed.
+    """Decompress a stored value that a peer has packed.
 
     Raises:
-        ValueError: If it isn't packed, or is too large.
+        ValueError: If the data is invalid, truncated or too large.
     """
-    inflater = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        value = inflater.decompress(packed, MAX_UNPACKED_BYTES)
+        value = decompressor.decompress(packed, MAX_UNPACKED_BYTES)
     except zlib.error as error:
-        raise ValueError(f"not a packed configuration: {error}") from error
-    if inflater.unconsumed_tail or not inflater.eof:
-        raise ValueError("the packed configuration is cut or too large")
+        raise ValueError(f"invalid packed configuration: {error}") from error
+    if decompressor.unconsumed_tail or not decompressor.eof:
+        raise ValueError("the packed configuration is truncated or too large")
     return value
--- a/monsoonpier/documents/table_check.py
+++ b/monsoonpier/documents/table_check.py
@@ -1,4 +1,4 @@
-"""Everything that is wrong with a TOML file that a struct could not be made of."""
+"""Findings for a TOML file that could not be converted to a struct."""
 
 import re
 
@@ -12,14 +12,14 @@
 def check_table(
     content: dict, kind: type[msgspec.Struct], *, text: str, file: str, prefix: str = ""
 ) -> list[Finding]:
-    """Return what is missing or of another type in a table.
+    """Return the missing fields and the fields of a wrong type in a table.
 
     Args:
         content: The table.
-        kind: The struct that it should become.
-        text: The file's text, in which places are looked up.
-        file: Its path.
-        prefix: The names of the tables around this one, each with a dot.
+        kind: The struct type that the table should convert to.
+        text: The file's text, to find line numbers.
+        file: The file's path.
+        prefix: The names of the enclosing tables, each followed by a dot.
     """
     findings = []
     for field in msgspec.structs.fields(kind):
@@ -46,7 +46,7 @@
 
 
 def place_of(name: str, text: str, file: str) -> Place:
-    """Return where a field stands; the file alone if it isn't found."""
+    """Return the place of a field's value, or of the file if it isn't found."""
     pattern = re.compile(rf"\s*{re.escape(name)}\s*=\s*")
     for number, line in enumerate(text.splitlines(), start=1):
         found = pattern.match(line)
--- a/monsoonpier/documents/marked.py
+++ b/monsoonpier/documents/yaml_document.py
@@ -1,4 +1,4 @@
-"""YAML read with the place of every value, checked against a JSON schema."""
+"""YAML documents with the position of each value, checked by a JSON schema."""
 
 from dataclasses import dataclass, field
 from functools import lru_cache
@@ -13,7 +13,7 @@
 
 from monsoonpier.model.findings import Finding, Place
 
-__all__ = ["MarkedDocument", "read_document"]
+__all__ = ["YamlDocument", "read_document"]
 
 MAX_DOCUMENT_BYTES = 1_048_576
 MAX_DEPTH = 32
@@ -21,8 +21,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class MarkedDocument:
-    """A document's plain content and the place of each path in it."""
+class YamlDocument:
+    """A document's content as plain values, and the place of each path in it."""
 
     file: str
     content: Any
@@ -35,7 +35,7 @@
         return self.places_by_path.get(path, Place(file=self.file))
 
     def check(self, schema: str) -> list[Finding]:
-        """Return all that is wrong with the document by that schema."""
+        """Return all violations of the schema file ``{schema}.schema.yaml``."""
         errors = _validator(schema).iter_errors(self.content)
         return [finding for error in errors for finding in self._findings(error)]
 
@@ -72,15 +72,13 @@
         ]
 
 
-def read_document(text: str, *, file: str) -> tuple[MarkedDocument, list[Finding]]:
-    """Parse one YAML document; never raises for what a person can get wrong."""
-    empty = MarkedDocument(file=file, content={})
+def read_document(text: str, *, file: str) -> tuple[YamlDocument, list[Finding]]:
+    """Parse one YAML document; report invalid text as findings, not exceptions."""
+    empty = YamlDocument(file=file, content={})
     place = Place(file=file)
     if len(text.encode()) > MAX_DOCUMENT_BYTES:
         return empty, [
-            Finding(
-                place=place, problem="the file is too large", hint="1 MiB at the most"
-            )
+            Finding(place=place, problem="the file is too large", hint="at most 1 MiB")
         ]
     try:
         node = YAML(typ="safe", pure=True).compose(text)
@@ -94,16 +92,16 @@
         return empty, [Finding(place=place, problem=problem)]
     if node is None:
         return empty, [Finding(place=place, problem="the file is empty")]
-    reader = _Reader(file)
+    reader = _NodeReader(file)
     content = reader.read(node, ())
-    document = MarkedDocument(
+    document = YamlDocument(
         file=file, content=content, places_by_path=reader.places_by_path
     )
     return document, reader.findings
 
 
-class _Reader:
-    """Turns nodes into plain values, noting places and duplicate keys."""
+class _NodeReader:
+    """Converts YAML nodes to plain values; records places and duplicate keys."""
 
     def __init__(self, file: str) -> None:
         self._file = file
@@ -114,7 +112,7 @@
     def read(self, node: Node, path: Path) -> Any:
         self.places_by_path[path] = self._place(node)
         if len(path) > MAX_DEPTH:
-            self._find(node, "nested too deeply")
+            self._add_finding(node, "nested too deeply")
             return None
         match node:
             case MappingNode():
@@ -133,10 +131,10 @@
         for key_node, value_node in node.value:
             key = str(key_node.value) if isinstance(key_node, ScalarNode) else "?"
             if key in values:
-                self._find(key_node, f"duplicate key {key!r}")
+                self._add_finding(key_node, f"duplicate key {key!r}")
                 continue
             values[key] = self.read(value_node, (*path, key))
-            # The key's place says more than the value's to a reader.
+            # Findings point to the key rather than to its value.
             self.places_by_path[(*path, key)] = self._place(key_node)
         return values
 
@@ -144,13 +142,13 @@
         try:
             value = self._constructor.construct_object(node)
         except (YAMLError, ValueError) as error:
-            self._find(node, f"not a value: {error}")
+            self._add_finding(node, f"invalid value: {error}")
             return None
-        # Dates and the like are of no use here; what was written is.
+        # Values of other types, such as dates, keep their text.
         is_plain = value is None or isinstance(value, str | bool | int | float)
         return value if is_plain else node.value
 
-    def _find(self, node: Node, problem: str) -> None:
+    def _add_finding(self, node: Node, problem: str) -> None:
         self.findings.append(Finding(place=self._place(node), problem=problem))
 
     def _place(self, node: Node) -> Place:
--- a/tests/documents/__init__.py
+++ b/tests/documents/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of documents."""
+"""Tests of settings and configuration files."""
--- a/tests/documents/test_documents.py
+++ b/tests/documents/test_documents.py
@@ -1,4 +1,4 @@
-"""Settings and configuration: all findings, each with its place."""
+"""Loading of settings and configuration, and findings with their places."""
 
 import tempfile
 import unittest
@@ -7,8 +7,8 @@
 from hypothesis import given, settings, strategies as st
 
 from monsoonpier.documents.configuration import difference, parse_files
-from monsoonpier.documents.marked import read_document
 from monsoonpier.documents.settings import load_settings
+from monsoonpier.documents.yaml_document import read_document
 
 GOOD = """\
 services:
@@ -32,22 +32,22 @@
 
 
 def problems(**texts: str) -> list[str]:
-    """Return findings as texts for files given by name."""
+    """Return the findings, as text, for files given by name."""
     return [str(f) for f in parse_files(texts).findings]
 
 
 class ConfigurationTests(unittest.TestCase):
-    """Operators' files."""
+    """Operators' service files."""
 
-    def test_good(self):
-        """A right file has no findings and gives its services."""
+    def test_valid(self):
+        """A valid file has no findings and gives its services."""
         parsed = parse_files({"a.yaml": GOOD})
         self.assertEqual(parsed.findings, ())
         self.assertTrue(parsed.services_by_name["maps"].allows("maps-7"))
         self.assertFalse(parsed.services_by_name["maps"].allows("logs-1"))
 
     def test_findings_have_places(self):
-        """Each sort of mistake is found, at its line and column."""
+        """Each kind of mistake is reported with its line and column."""
         table = (
             (GOOD + "    colour: red\n", "a:7:5: unknown key 'colour'"),
             (GOOD + "    address: 192.0.2.1:1\n", "a:7:5: duplicate key 'address'"),
@@ -73,8 +73,8 @@
         )
         self.assertEqual({f.split(":")[0] for f in found}, {"a", "b", "c"})
 
-    def test_clashes_between_files(self):
-        """A service twice, an address twice, a target twice: all are findings."""
+    def test_conflicts_between_files(self):
+        """Duplicate services, addresses and targets across files are findings."""
         other = GOOD.replace("maps:", "charts:")
         found = problems(a=GOOD, b=GOOD, c=other)
         text = "\n".join(found)
@@ -83,12 +83,12 @@
         self.assertIn("target 'maps-*' is allowed by two services", text)
 
     def test_too_large_a_set(self):
-        """A set that doesn't fit into the platform's value is a finding."""
+        """A set that is too large for one stored value is a finding."""
         found = problems(a=GOOD + "#" + "x" * 950_000 + "\n")
         self.assertIn("the set takes", found[0])
 
     def test_difference(self):
-        """The difference names what is added, removed and changed."""
+        """The difference lists what is added, removed and changed."""
         old = parse_files({"a": GOOD}).services_by_name
         new = parse_files({"a": GOOD.replace("7001", "7002")}).services_by_name
         self.assertEqual(
@@ -109,7 +109,7 @@
 
 
 class SettingsTests(unittest.TestCase):
-    """Settings of a process."""
+    """Settings files of processes."""
 
     def _load(self, text: str, role: str = "balancer", **environment: str):
         with tempfile.TemporaryDirectory() as folder:
@@ -117,22 +117,22 @@
             file.write_text(text)
             return load_settings(file, role=role, environment=environment)
 
-    def test_good(self):
-        """Right settings are built, and their keys are masked for printing."""
+    def test_valid(self):
+        """Valid settings are loaded, and their keys are masked for printing."""
         loaded = self._load(SETTINGS)
         self.assertEqual(loaded.findings, ())
         self.assertEqual(str(loaded.settings.internal), "127.0.0.1:9000")
         self.assertNotIn("0011", str(loaded.masked))
 
     def test_environment_over_file(self):
-        """A variable lies over the file, and its own mistakes are named."""
+        """A variable overrides the file's key; findings name the variable."""
         loaded = self._load(SETTINGS, MONSOONPIER_NAME="b9")
         self.assertEqual(loaded.settings.name, "b9")
         loaded = self._load(SETTINGS, MONSOONPIER_INTERNAL="nonsense")
         self.assertIn("MONSOONPIER_INTERNAL", str(loaded.findings[0]))
 
     def test_findings(self):
-        """Mistakes are found with their places, all of them."""
+        """All mistakes are reported with their places."""
         wrong = SETTINGS.replace("id: 1", "id: 300").replace("dc-1", "DC 1")
         found = [str(f) for f in self._load(wrong).findings]
         self.assertEqual(len(found), 2, found)
@@ -140,26 +140,26 @@
         self.assertTrue(any(":9:" in f for f in found))
 
     def test_link(self):
-        """The link's rate is optional, a number above 0, and wrong at its place."""
+        """The link's rate is optional; an invalid one is reported with its place."""
         self.assertIsNone(self._load(SETTINGS).settings.link_bits_per_second)
-        told = self._load(SETTINGS + "\nlink_megabits: 2.5\n")
-        self.assertEqual(told.settings.link_bits_per_second, 2.5e6)
+        loaded = self._load(SETTINGS + "\nlink_megabits: 2.5\n")
+        self.assertEqual(loaded.settings.link_bits_per_second, 2.5e6)
         for text in ("0", "-1", "wide", "true", ".nan", ".inf"):
             with self.subTest(text=text):
                 found = self._load(SETTINGS + f"\nlink_megabits: {text}\n").findings
                 self.assertRegex(str(found[0]), r"settings.yaml:\d+:\d+: ")
 
     def test_wrong_role(self):
-        """A balancer's settings don't start an agent."""
+        """A balancer's settings are rejected for an agent."""
         found = self._load(SETTINGS, role="agent").findings
         self.assertIn("role 'balancer'", str(found[0]))
 
     def test_missing_file(self):
-        """A file that isn't there is a finding."""
+        """A missing file is a finding."""
         loaded = load_settings(Path("/nowhere/x"), role="agent", environment={})
         self.assertIn("No such file", str(loaded.findings[0]))
 
     def test_missing_key(self):
-        """What a role needs and isn't there is a finding."""
+        """A missing key that the role requires is a finding."""
         found = self._load(SETTINGS.replace("internal", "# internal")).findings
         self.assertIn("'internal' is missing", str(found[0]))
