--- a/monsoonpier/http/__init__.py
+++ b/monsoonpier/http/__init__.py
@@ -1,8 +1,6 @@
-"""A small HTTP/1.1 server and client; ``httptools`` does the parsing.
+"""A small HTTP/1.1 server and client that parse with ``httptools``.
 
-Daemons use it in place of ``aiohttp``, whose import takes 0.18 s and 14 MB
-(measured on CPython 3.11): much of the time in which a process that was killed
-serves nothing.
+Daemons use it instead of ``aiohttp``, whose import would slow their restart.
 """
 
 from monsoonpier.http.client import HttpClient, HttpError
--- a/monsoonpier/http/client.py
+++ b/monsoonpier/http/client.py
@@ -1,4 +1,4 @@
-"""A client of one server: each call has a time-out, connections are reused."""
+"""An HTTP client of one server with timeouts and persistent connections."""
 
 import asyncio
 
@@ -9,15 +9,15 @@
 
 __all__ = ["HttpClient", "HttpError"]
 
-MAX_IDLE_CONNECTIONS = 2  # a call beside a waiting watch
-IDLE_SECONDS = 8.0  # below the 12 s after which servers commonly close
+MAX_IDLE_CONNECTIONS = 2  # one for a long-polling watch, one for other calls
+IDLE_SECONDS = 8.0  # shorter than the idle timeout of common servers
 CONNECT_SECONDS = 1.0
 
 
 class HttpError(Exception):
-    """No whole response came.
+    """No complete response was received.
 
-    ``was_sent`` tells whether the server may have acted on the request.
+    ``was_sent`` is true if the server may have processed the request.
     """
 
     def __init__(self, reason: str, *, was_sent: bool) -> None:
@@ -26,7 +26,7 @@
 
 
 class HttpClient:
-    """Calls one server. A connection that failed a call is never used again."""
+    """Calls one server; a connection on which a call failed is not reused."""
 
     def __init__(self, *, address: Address) -> None:
         self._address = address
@@ -38,15 +38,15 @@
         """Send one request and return its response.
 
         Args:
-            method: The request's method.
-            target: Path and query.
-            body: JSON, or nothing.
-            timeout: Seconds until the call is given up.
+            method: The HTTP method.
+            target: The path and query.
+            body: The JSON body, if any.
+            timeout: Seconds to wait for the complete response.
 
         Raises:
-            HttpError: If no whole response came in time.
+            HttpError: If no complete response is received in time.
         """
-        connection = await self._connection(min(timeout, CONNECT_SECONDS))
+        connection = await self._acquire(min(timeout, CONNECT_SECONDS))
         try:
             response = await asyncio.wait_for(
                 connection.exchange(self._request(method, target, body)), timeout
@@ -57,7 +57,7 @@
         except asyncio.CancelledError:
             connection.close()
             raise
-        self._keep(connection)
+        self._release(connection)
         return response
 
     def close(self) -> None:
@@ -66,7 +66,7 @@
             connection.close()
         self._idle.clear()
 
-    async def _connection(self, seconds: float) -> "_Connection":
+    async def _acquire(self, timeout: float) -> "_Connection":
         now = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
@@ -76,15 +76,15 @@
         loop = asyncio.get_running_loop()
         try:
             _, connection = await asyncio.wait_for(
-                loop.create_connection(_Connection, *self._address.endpoint), seconds
+                loop.create_connection(_Connection, *self._address.endpoint), timeout
             )
         except (TimeoutError, OSError) as error:
             raise HttpError(
-                f"{self._address} not reached: {error!r}", was_sent=False
+                f"connection to {self._address} failed: {error!r}", was_sent=False
             ) from error
         return connection
 
-    def _keep(self, connection: "_Connection") -> None:
+    def _release(self, connection: "_Connection") -> None:
         if connection.is_usable and len(self._idle) < MAX_IDLE_CONNECTIONS:
             connection.used_at = asyncio.get_running_loop().time()
             self._idle.append(connection)
@@ -99,32 +99,32 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection and its one response at a time; called by asyncio."""
+    """A connection that exchanges one request and response at a time."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._body = bytearray()
         self._headers_by_name: dict[str, str] = {}
-        self._waiting: asyncio.Future | None = None
+        self._response: asyncio.Future | None = None
         self._keeps_alive = True
         self.used_at = 0.0
 
     @property
     def is_usable(self) -> bool:
-        """Whether another request may be sent on it."""
+        """Whether another request may be sent on this connection."""
         assert self._transport is not None
         return self._keeps_alive and not self._transport.is_closing()
 
     async def exchange(self, request: bytes) -> Response:
         """Send a request and wait for its response."""
         assert self._transport is not None
-        self._waiting = asyncio.get_running_loop().create_future()
+        self._response = asyncio.get_running_loop().create_future()
         self._transport.write(request)
-        return await self._waiting
+        return await self._response
 
     def close(self) -> None:
-        """Close without waiting: what was not sent is not wanted."""
+        """Close immediately and discard unsent data."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -151,12 +151,12 @@
     def on_body(self, body: bytes) -> None:
         self._body += body
         if len(self._body) > MAX_BODY_BYTES:
-            self._fail(OSError("response too large"))
+            self._fail(OSError("response body too large"))
             self.close()
 
     def on_message_complete(self) -> None:
         self._keeps_alive = self._parser.should_keep_alive()
-        if self._waiting is None or self._waiting.done():
+        if self._response is None or self._response.done():
             return
         status = self._parser.get_status_code()
         response = Response(
@@ -164,8 +164,8 @@
             body=bytes(self._body),
             headers_by_name=self._headers_by_name,
         )
-        self._waiting.set_result(response)
+        self._response.set_result(response)
 
     def _fail(self, error: Exception) -> None:
-        if self._waiting is not None and not self._waiting.done():
-            self._waiting.set_exception(error)
+        if self._response is not None and not self._response.done():
+            self._response.set_exception(error)
--- a/monsoonpier/http/message.py
+++ b/monsoonpier/http/message.py
@@ -1,10 +1,10 @@
-"""Requests and responses as both ends of a connection see them."""
+"""HTTP requests and responses, shared by client and server."""
 
 from dataclasses import dataclass, field
 
 __all__ = ["MAX_BODY_BYTES", "Request", "Response", "encode_response"]
 
-MAX_BODY_BYTES = 4 * 1_048_576  # a configuration of a megabyte, base64, with room
+MAX_BODY_BYTES = 4 * 1_048_576  # room for a configuration of 1 MB in base64
 
 _REASONS_BY_STATUS = {
     200: b"OK",
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Request:
-    """One request: ``query_by_name`` holds the first value of each name."""
+    """A request; ``query_by_name`` holds one value of each query parameter."""
 
     method: str
     path: str
@@ -29,9 +29,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Response:
-    """One whole response.
+    """A complete response.
 
-    ``headers_by_name`` has what a server sent, by names in lower case.
+    ``headers_by_name`` holds the headers that a client received, by lower-case name.
     """
 
     status: int = 200
@@ -41,7 +41,7 @@
 
 
 def encode_response(response: Response, *, keep_alive: bool) -> bytes:
-    """Return the response's bytes on the wire."""
+    """Encode a response to bytes."""
     reason = _REASONS_BY_STATUS.get(response.status, b"Status")
     connection = b"keep-alive" if keep_alive else b"close"
     return b"HTTP/1.1 %d %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n" % (
--- a/monsoonpier/http/server.py
+++ b/monsoonpier/http/server.py
@@ -1,4 +1,4 @@
-"""A server that answers each request by one handler."""
+"""An HTTP server that passes each request to a handler."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 __all__ = ["HttpServer"]
 
-MAX_CONNECTIONS = 256  # far above what probes, metrics and one target need
+MAX_CONNECTIONS = 256
 BACKLOG = 128
 _log = structlog.get_logger("monsoonpier.http.server")
 
@@ -25,7 +25,7 @@
 
 
 class HttpServer:
-    """Serves one address. A handler that fails answers 500 and is logged."""
+    """Serves one address; an exception of the handler gives status 500."""
 
     def __init__(self, *, address: Address, handler: Handler) -> None:
         self._address = address
@@ -34,10 +34,10 @@
         self._connections: set[_Connection] = set()
 
     async def start(self) -> None:
-        """Begin to serve.
+        """Start to serve.
 
         Raises:
-            OSError: If the port is taken.
+            OSError: If the port is in use.
         """
         loop = asyncio.get_running_loop()
         ip, port = self._address.endpoint
@@ -52,28 +52,28 @@
         for connection in list(self._connections):
             connection.close()
 
-    def answer(self, request: Request) -> Response:
-        """Return the handler's response; its failure never ends the server."""
+    def handle(self, request: Request) -> Response:
+        """Return the handler's response, or status 500 if it raises."""
         try:
             return self._handler(request)
         except Exception:
             _log.exception("handler failed", path=request.path)
             return Response(status=500)
 
-    def opened(self, connection: "_Connection") -> bool:
-        """Count a connection; tell whether there is room for it."""
+    def add(self, connection: "_Connection") -> bool:
+        """Register a connection; return ``False`` if there are too many."""
         if len(self._connections) >= MAX_CONNECTIONS:
             return False
         self._connections.add(connection)
         return True
 
-    def closed(self, connection: "_Connection") -> None:
-        """Forget a connection."""
+    def remove(self, connection: "_Connection") -> None:
+        """Unregister a closed connection."""
         self._connections.discard(connection)
 
 
 class _Connection(asyncio.Protocol):
-    """Reads requests in turn from one connection; called by asyncio."""
+    """One connection; handles its requests in turn."""
 
     def __init__(self, server: HttpServer) -> None:
         self._server = server
@@ -84,24 +84,24 @@
 
     def connection_made(self, transport) -> None:
         self._transport = transport
-        if not self._server.opened(self):
+        if not self._server.add(self):
             transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._server.closed(self)
+        self._server.remove(self)
 
     def data_received(self, data: bytes) -> None:
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            _log.warning("request not readable", reason=str(error))
+            _log.warning("malformed request", reason=str(error))
             self._reply(Response(status=400), keep_alive=False)
 
     def close(self) -> None:
         if self._transport is not None:
             self._transport.close()
 
-    # Called by the parser.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
         self._url = b""
@@ -120,11 +120,11 @@
         try:
             request = self._request()
         except (httptools.HttpParserError, UnicodeDecodeError, ValueError) as error:
-            _log.warning("request not readable", reason=str(error))
+            _log.warning("malformed request", reason=str(error))
             self._reply(Response(status=400), keep_alive=False)
             return
         keep_alive = self._parser.should_keep_alive()
-        self._reply(self._server.answer(request), keep_alive=keep_alive)
+        self._reply(self._server.handle(request), keep_alive=keep_alive)
 
     def _request(self) -> Request:
         url = httptools.parse_url(self._url)
