--- a/monsoonpier/store/lease.py
+++ b/monsoonpier/store/lease.py
@@ -32,7 +32,7 @@
         return self._step("ran_out")
 
     def granted(self, lease: int, *, ttl_seconds: float, asked_at: float) -> "Lease":
-        """Return the lease after a grant that was requested at ``asked_at``."""
+        """Return the lease after a grant; its term counts from the request."""
         ends = asked_at + ttl_seconds * (1 - SAFETY_SHARE)
         return replace(self._step("granted"), id=lease, ends=ends)
 
--- a/monsoonpier/store/long_poll.py
+++ b/monsoonpier/store/long_poll.py
@@ -36,7 +36,7 @@
     Args:
         poll: Waits for changes after a revision number.
         key: The watched key, for the log.
-        after: The last revision number that is not wanted.
+        after: The revision number after which to begin.
         draw: The random generator for the jitter of retries.
 
     Raises:
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -233,11 +233,11 @@
     """HTTP calls from a target to its agent."""
 
     def setUp(self) -> None:
-        self.taken: list = []
+        self.messages: list = []
         self.calls = TargetCalls(service="maps", handler=self._take)
 
     def _take(self, message) -> bool:
-        self.taken.append(message)
+        self.messages.append(message)
         return True
 
     def _post(self, path: str, body: bytes = b"") -> int:
@@ -251,7 +251,7 @@
             "cold_remaining_ms": 1500, "sequence": 4}"""
         self.assertEqual(self._post("Instances.Heartbeat/i-1", body), 200)
         self.assertEqual(self._post("Instances.Leave/i-1"), 200)
-        announced, left = self.taken
+        announced, left = self.messages
         self.assertIsInstance(announced, TargetAnnouncement)
         self.assertTrue(announced.is_draining)
         self.assertEqual(announced.cold_seconds, 1.5)
@@ -263,7 +263,7 @@
         self._post("Instances.Heartbeat/i-1", msgspec.json.encode(body))
         self._post("Instances.Leave/i-1", b'{"born": 1780000000123}')
         run = TargetRun(identity="i-1", born_ms=1_780_000_000_123)
-        self.assertEqual([message.run for message in self.taken], [run, run])
+        self.assertEqual([message.run for message in self.messages], [run, run])
 
     def test_invalid_fields(self) -> None:
         """A call with a missing or invalid field is rejected and counted."""
@@ -287,7 +287,7 @@
         body = msgspec.json.encode(HEARTBEAT)
         self.assertEqual(self._post("Instances.Heartbeat/", body), 400)
         self.assertEqual(self._post("Instances.Leave/i-1", b"\xff"), 400)
-        self.assertEqual(self.taken, [])
+        self.assertEqual(self.messages, [])
         counted = sum(self.calls.refused_by_reason.values())
         self.assertEqual(counted, len(wrong) + len(HEARTBEAT) + 2)
 
@@ -311,14 +311,14 @@
     )
     def test_any_call(self, body, identity) -> None:
         """Any call gives a typed message or a counted rejection."""
-        self.taken.clear()
+        self.messages.clear()
         self.calls.refused_by_reason.clear()
         for call in ("Heartbeat", "Leave"):
             status = self._post(f"Instances.{call}/{identity}", body)
             self.assertIn(status, (200, 400))
-        refused = sum(self.calls.refused_by_reason.values())
-        self.assertEqual(len(self.taken) + refused, 2)
-        for message in self.taken:
+        rejected = sum(self.calls.refused_by_reason.values())
+        self.assertEqual(len(self.messages) + rejected, 2)
+        for message in self.messages:
             self.assertIsInstance(message, TargetAnnouncement | TargetLeft)
 
     def test_malformed_calls(self) -> None:
@@ -328,7 +328,7 @@
         self.assertEqual(self._post("Instances.Other/i-1"), 404)
         get = Request(method="GET", path="/monsoonpier/Instances.Leave/i-1")
         self.assertEqual(self.calls.handle(get).status, 405)
-        self.assertEqual(self.taken, [])
+        self.assertEqual(self.messages, [])
 
 
 class BoundaryTests(unittest.TestCase):
--- a/tests/store/test_contract.py
+++ b/tests/store/test_contract.py
@@ -65,8 +65,8 @@
         first = await self.put(KEY, b"one")
         puts = (Put(key=KEY, value=b"two"), Put(key="/other", value=b"x"))
         stale = Compare(key=KEY, mod_revision=first.revision.next.next)
-        refused = await self.store.transact(compares=(stale,), puts=puts)
-        self.assertFalse(refused.succeeded)
+        rejected = await self.store.transact(compares=(stale,), puts=puts)
+        self.assertFalse(rejected.succeeded)
         self.assertEqual((await self.store.read("/other")).values_by_key, {})
         current = Compare(key=KEY, mod_revision=first.revision)
         absent = Compare(key="/other")
@@ -117,7 +117,7 @@
         for number in range(1, 6):
             await self.put(KEY, b"%d" % number)
             if number == 3:
-                await self.cut()
+                await self.interrupt_watches()
         await asyncio.wait_for(following, 10)
         self.assertEqual(seen, [b"%d" % n for n in range(6)])
 
@@ -155,10 +155,10 @@
             The first lost write's result, and the last revision before the restore.
         """
         await self.put("/test/before", b"kept")
-        copy = self.restorable.copy()
+        backup = self.restorable.copy()
         lost = await self.put(KEY, b"lost")
         before = await self.put(KEY, b"lost too")
-        self.restorable.restore(copy)
+        self.restorable.restore(backup)
         await self.put(KEY, b"other")
         return lost, before.revision
 
@@ -194,7 +194,7 @@
         self.store = FakeStore()
         self.restorable = self.store.store
 
-    async def cut(self) -> None:
+    async def interrupt_watches(self) -> None:
         """Do nothing: the fake has no connections."""
 
     async def lose_answers(self, count: int) -> None:
@@ -229,7 +229,7 @@
         await self.store.close()
         await self.runner.cleanup()
 
-    async def cut(self) -> None:
+    async def interrupt_watches(self) -> None:
         """Interrupt the watches."""
         self.stand_in.faults.is_down = True
         await asyncio.sleep(0.05)
@@ -334,11 +334,11 @@
         """A read fails if the store is restored between two pages."""
         for number in range(600):
             self.stand_in.put(f"a/{number:05d}", b"x")
-        copy, read_page, pages = self.restorable.copy(), self.store._get, []
+        backup, read_page, pages = self.restorable.copy(), self.store._get, []
 
         async def restore_between(call, query):
             if pages:
-                self.restorable.restore(copy)
+                self.restorable.restore(backup)
             pages.append(query)
             return await read_page(call, query)
 
@@ -409,7 +409,7 @@
         await self.store.close()
         await self.runner.cleanup()
 
-    async def cut(self) -> None:
+    async def interrupt_watches(self) -> None:
         """Interrupt the watches."""
         for watch in list(self.stand_in._watches):
             watch.transport.abort()
