--- a/monsoonpier/store/lease.py
+++ b/monsoonpier/store/lease.py
@@ -19,7 +19,7 @@
 
     id: int = 0
     state: str = "absent"
-    ends: float = 0.0
+    expires_at: float = 0.0
 
     def may_act(self, *, now: float) -> bool:
         """Return whether the holder may still act under the lease."""
@@ -27,14 +27,14 @@
 
     def at(self, *, now: float) -> "Lease":
         """Return the lease as of ``now``: expired if its term has passed."""
-        if now < self.ends:
+        if now < self.expires_at:
             return self
         return self._step("ran_out")
 
     def granted(self, lease: int, *, ttl_seconds: float, asked_at: float) -> "Lease":
         """Return the lease after a grant; its term counts from the request."""
-        ends = asked_at + ttl_seconds * (1 - SAFETY_SHARE)
-        return replace(self._step("granted"), id=lease, ends=ends)
+        expires_at = asked_at + ttl_seconds * (1 - SAFETY_SHARE)
+        return replace(self._step("granted"), id=lease, expires_at=expires_at)
 
     def renewed(self, *, ttl_seconds: float, asked_at: float, now: float) -> "Lease":
         """Return the lease after a renewal; an expired lease stays expired."""
@@ -42,7 +42,7 @@
         after = current._step("renewed")
         if after.state != "held":
             return after
-        return replace(after, ends=asked_at + ttl_seconds * (1 - SAFETY_SHARE))
+        return replace(after, expires_at=asked_at + ttl_seconds * (1 - SAFETY_SHARE))
 
     def renewal_failed(self) -> "Lease":
         """Return the lease after a renewal that got no response."""
@@ -54,7 +54,7 @@
 
     def released(self) -> "Lease":
         """Return the lease after its holder revoked it."""
-        return replace(self._step("released"), id=0, ends=0.0)
+        return replace(self._step("released"), id=0, expires_at=0.0)
 
     def _step(self, event: str) -> "Lease":
         return replace(self, state=load_chart("lease").step(self.state, event))
--- a/tests/link/test_schedule.py
+++ b/tests/link/test_schedule.py
@@ -151,7 +151,7 @@
         self.assertLess(max(waits), 0.025)
         self.assertGreater(schedule.dropped_by_reason["link full"], 1_000)
 
-    def test_kept_bytes_are_bounded(self) -> None:
+    def test_queued_bytes_are_bounded(self) -> None:
         """Queued bytes never exceed what the link sends in the longest wait."""
         schedule = LinkSchedule(bits_per_second=2e6)
         for flow in range(1, 500):
--- a/tests/process/test_readings.py
+++ b/tests/process/test_metrics.py
@@ -14,12 +14,12 @@
         times = Histogram(name="wait_seconds", help="Waits.")
         for seconds in (0.0005, 0.003, 0.003, 60.0):
             times.observe(seconds)
-        readings = (
+        metrics = (
             gauge("flows", "Flows.", 7),
             counter("drops", "Drops.", {"size": 2}, "reason"),
             times,
         )
-        lines = expose(lambda: readings).decode().splitlines()
+        lines = expose(lambda: metrics).decode().splitlines()
         self.assertIn("monsoonpier_flows 7.0", lines)
         self.assertIn('monsoonpier_drops_total{reason="size"} 2.0', lines)
         self.assertIn('monsoonpier_wait_seconds_bucket{le="0.001"} 1.0', lines)
