--- a/monsoonpier/documents/configuration.py
+++ b/monsoonpier/documents/configuration.py
@@ -181,7 +181,10 @@
     document: YamlDocument,
     services_by_name: dict[str, Service],
 ) -> list[Finding]:
-    """Report targets of a service that another service allows as well."""
+    """Report targets of a service that an earlier one lists or allows as well.
+
+    Patterns are compared by equality only.
+    """
     findings = []
     for other in services_by_name.values():
         if other.name == name:
@@ -212,5 +215,6 @@
 
 
 def _describe(service: Service) -> str:
+    """Return a service's address, targets and kinds on one line."""
     kinds = ", ".join(sorted(service.kinds_by_name))
     return f"{service.address}, targets {', '.join(service.targets)}, kinds {kinds}"
--- a/monsoonpier/platform/packets.py
+++ b/monsoonpier/platform/packets.py
@@ -15,7 +15,7 @@
 _HEADER = struct.Struct("!BIHII4s4sHHI")
 _FLAGS_OFFSET = 0
 MAX_DATA_BYTES = 1_200
-MAX_KEPT_ADDRESSES = 4_096
+MAX_KEPT_ADDRESSES = 4_096  # size of each cache
 
 # A flow carries HTTP/1.1. A response begins with its status line, and status 5xx
 # is a failure of the target.
@@ -23,8 +23,8 @@
 _STATUS_OFFSET = _HEADER.size + len(b"HTTP/1.1 ")
 _FAILURE_START = b"5"
 
-# Seconds after the first SYN at which a caller sends each retransmission. The
-# ``ack`` field of a SYN counts retransmissions.
+# Seconds since a caller's first SYN, by the number of retransmissions, which the
+# ``ack`` field of a SYN counts.
 _SYN_SECONDS = (0.0, 0.2, 0.6)
 
 _SYN = 32
--- a/monsoonpier/process/exposition.py
+++ b/monsoonpier/process/exposition.py
@@ -37,6 +37,8 @@
 
 
 class _Collector:
+    """Adapts ``read`` to the collector interface of ``prometheus_client``."""
+
     def __init__(self, read: Callable[[], Iterable[Reading]]) -> None:
         self._read = read
 
--- a/monsoonpier/process/web.py
+++ b/monsoonpier/process/web.py
@@ -38,7 +38,7 @@
         await self._server.stop()
 
     def handle(self, request: Request) -> Response:
-        """Handle one request."""
+        """Serve the path of a request, or return status 404 or 405."""
         if request.method != "GET":
             return Response(status=405)
         match request.path:
