--- a/monsoonpier/balancer/packets/__init__.py
+++ b/monsoonpier/balancer/packets/__init__.py
@@ -1,1 +1,1 @@
-"""Balancers of flows without a token: decisions, and the process around them."""
+"""Balancer of flows without a token: steering decisions and the process."""
--- a/monsoonpier/balancer/packets/caller_waits.py
+++ b/monsoonpier/balancer/packets/caller_waits.py
@@ -1,8 +1,7 @@
-"""What became of new flows at one balancer, by service and priority.
+"""Statistics of new flows at one balancer, by service and priority.
 
-The load that it answers: more callers than slots, where a few who wait long or are
-refused vanish among the many. Counts are kept as flows come and go; what waits is
-looked through only when somebody asks.
+Counters are updated as flows come and go; queued flows are examined only when a
+summary is requested.
 """
 
 import math
@@ -10,46 +9,46 @@
 from collections.abc import Callable, Collection, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from monsoonpier.balancer.packets.placement import run_seconds, wait_for_slot
+from monsoonpier.balancer.packets.placement import median_service_seconds, wait_for_slot
 from monsoonpier.balancer.steering import Candidate
 from monsoonpier.model.service import PacketRoute
 from monsoonpier.model.waiting import MARGIN_RUNS, WaitingFlow
 from monsoonpier.model.waiting_summary import LatelySeen, WaitingSummary
 
-__all__ = ["CallerWaits", "ServiceWaits"]
+__all__ = ["WaitStatistics", "ServiceWaits"]
 
-LATELY_SECONDS = 10.0  # what an operator calls now; a burst is shorter
-# Reasons are the code's own and few. A mistake there must not let metrics grow.
+DECAY_SECONDS = 10.0  # time constant of recent counts
+# Bounds on label values, so that metrics can't grow without limit.
 MAX_REASONS = 16
 MAX_DATA_CENTRES = 64
 OTHER = "other"
-LINE_SECONDS = 5.0  # between two lines of one class: a day stays readable
-MAX_LINES = 8  # classes that are worst off; the others are in the metrics
+LOG_INTERVAL_SECONDS = 5.0  # between two log lines of one class
+MAX_LOG_LINES = 8  # for the classes with the longest waits; metrics show all
 
-Class = tuple[str, int]  # a service and a priority
+TrafficClass = tuple[str, int]  # service and priority
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceWaits:
-    """What waits for one service, and the targets that it waits for."""
+    """The flows queued for one service, and the service's targets."""
 
     flows: Sequence[WaitingFlow]
     candidates: Sequence[Candidate]
 
 
 @dataclass(slots=True, kw_only=True)
-class _Lately:
+class _RecentCounts:
     served: float = 0.0
     refused: float = 0.0
     wait_seconds: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
-    def fade(self, *, now: float) -> None:
-        left = math.exp(-max(0.0, now - self.at) / LATELY_SECONDS)
+    def decay(self, *, now: float) -> None:
+        left = math.exp(-max(0.0, now - self.updated_at) / DECAY_SECONDS)
         self.served *= left
         self.refused *= left
         self.wait_seconds *= left
-        self.at = now
+        self.updated_at = now
 
 
 @dataclass(slots=True, kw_only=True)
@@ -60,85 +59,87 @@
     served_by_data_centre: Counter[str] = field(default_factory=Counter)
     refused_by_reason: Counter[str] = field(default_factory=Counter)
     wait_seconds: float = 0.0
-    lately: _Lately = field(default_factory=_Lately)
+    recent: _RecentCounts = field(default_factory=_RecentCounts)
 
 
-class CallerWaits:
+class WaitStatistics:
     """Counts new flows by service and priority. Does no I/O."""
 
     def __init__(self) -> None:
-        self._counts_by_class: dict[Class, _Counts] = {}
-        self._lined_at: float | None = None
-        self._lined_by_class: dict[Class, WaitingSummary] = {}
+        self._counts_by_class: dict[TrafficClass, _Counts] = {}
+        self._logged_at: float | None = None
+        self._logged_by_class: dict[TrafficClass, WaitingSummary] = {}
 
     def configured(self, services: Collection[str]) -> None:
-        """Forget all services but these, which have a route."""
+        """Drop the statistics of all services but these, which have a route."""
         for key in list(self._counts_by_class):
             service, _ = key
             if service not in services:
                 del self._counts_by_class[key]
-                self._lined_by_class.pop(key, None)
+                self._logged_by_class.pop(key, None)
 
-    def asked(self, service: str, route: PacketRoute) -> None:
-        """Count a new flow to a service, and its route."""
+    def count_requested(self, service: str, route: PacketRoute) -> None:
+        """Count a new flow, and note its route's latency target."""
         counts = self._counts(service, route)
         counts.asked += 1
         counts.aim_seconds = route.aim_seconds
 
-    def served(
+    def count_served(
         self,
         service: str,
         route: PacketRoute,
         *,
-        asked_at: float,
+        first_attempt_at: float,
         data_centre: str,
         now: float,
     ) -> None:
-        """Count a flow that a target took.
+        """Count a flow that a target has accepted.
 
         Args:
-            service: The target's.
-            route: Where its address leads.
-            asked_at: When its caller asked first.
-            data_centre: The target's.
-            now: The present time.
+            service: The target's service.
+            route: The route of the flow's address.
+            first_attempt_at: When the caller sent the first SYN of the request.
+            data_centre: The target's data centre.
+            now: The current time.
         """
         counts = self._counts(service, route)
-        wait = max(0.0, now - asked_at)
-        _count(counts.served_by_data_centre, data_centre, most=MAX_DATA_CENTRES)
+        wait = max(0.0, now - first_attempt_at)
+        _count_bounded(
+            counts.served_by_data_centre, data_centre, limit=MAX_DATA_CENTRES
+        )
         counts.served_late += int(wait > route.aim_seconds)
         counts.wait_seconds += wait
-        counts.lately.fade(now=now)
-        counts.lately.served += 1
-        counts.lately.wait_seconds += wait
+        counts.recent.decay(now=now)
+        counts.recent.served += 1
+        counts.recent.wait_seconds += wait
 
-    def refused(
+    def count_rejected(
         self, service: str, route: PacketRoute, reason: str, *, now: float
     ) -> None:
-        """Count a flow whose caller is told to go."""
+        """Count a rejected flow."""
         counts = self._counts(service, route)
-        _count(counts.refused_by_reason, reason, most=MAX_REASONS)
-        counts.lately.fade(now=now)
-        counts.lately.refused += 1
+        _count_bounded(counts.refused_by_reason, reason, limit=MAX_REASONS)
+        counts.recent.decay(now=now)
+        counts.recent.refused += 1
 
     def summaries(
         self,
         waits_by_service: Mapping[str, ServiceWaits],
         *,
-        asked_at: Callable[[bytes], float | None],
+        first_attempt_at: Callable[[bytes], float | None],
         now: float,
     ) -> tuple[WaitingSummary, ...]:
-        """Return how each class fares.
+        """Return a summary of each class.
 
         Args:
-            waits_by_service: What waits now, for the services that are looked at.
-            asked_at: Tells when a waiting flow's caller asked first.
-            now: The present time.
+            waits_by_service: Queued flows, for the services that are examined.
+            first_attempt_at: Returns when a queued flow's caller first tried.
+            now: The current time.
         """
         found = []
         for (service, priority), counts in sorted(self._counts_by_class.items()):
             waits = waits_by_service.get(service, ServiceWaits(flows=(), candidates=()))
-            counts.lately.fade(now=now)
+            counts.recent.decay(now=now)
             found.append(
                 WaitingSummary(
                     service=service,
@@ -150,40 +151,42 @@
                     refused_by_reason=dict(counts.refused_by_reason),
                     wait_seconds=counts.wait_seconds,
                     lately=LatelySeen(
-                        served=counts.lately.served,
-                        refused=counts.lately.refused,
-                        wait_seconds=counts.lately.wait_seconds,
+                        served=counts.recent.served,
+                        refused=counts.recent.refused,
+                        wait_seconds=counts.recent.wait_seconds,
+                    ),
+                    **_waiting_now(
+                        waits, priority, first_attempt_at=first_attempt_at, now=now
                     ),
-                    **_present(waits, priority, asked_at=asked_at, now=now),
                 )
             )
         return tuple(found)
 
-    def is_line_due(self, *, now: float) -> bool:
-        """Tell whether it is time for lines again, of what has come since."""
-        if self._lined_at is None:
-            self._lined_at = now
-        if now - self._lined_at < LINE_SECONDS:
+    def is_log_due(self, *, now: float) -> bool:
+        """Return whether the log interval is over, and start a new one if so."""
+        if self._logged_at is None:
+            self._logged_at = now
+        if now - self._logged_at < LOG_INTERVAL_SECONDS:
             return False
-        self._lined_at = now
+        self._logged_at = now
         return True
 
-    def lines(self, summaries: Collection[WaitingSummary]) -> list[dict]:
-        """Return the fields of a line for each class that waits or was refused.
+    def log_fields(self, summaries: Collection[WaitingSummary]) -> list[dict]:
+        """Return the fields of a log line for each class with queued or rejected flows.
 
         Args:
-            summaries: How all classes fare now.
+            summaries: Current summaries of all classes.
         """
         found = []
         for summary in summaries:
             key = (summary.service, summary.priority)
-            before = self._lined_by_class.get(key)
-            self._lined_by_class[key] = summary
-            fields = _gained(summary, before)
+            previous = self._logged_by_class.get(key)
+            self._logged_by_class[key] = summary
+            fields = _changes_since(summary, previous)
             if summary.waiting or fields["refused"]:
                 found.append(fields)
         found.sort(key=lambda fields: fields["oldest_seconds"], reverse=True)
-        return found[:MAX_LINES]
+        return found[:MAX_LOG_LINES]
 
     def _counts(self, service: str, route: PacketRoute) -> _Counts:
         key = (service, route.priority)
@@ -194,25 +197,25 @@
         return counts
 
 
-def _count(counts: Counter[str], name: str, *, most: int) -> None:
-    """Count under a name, or under one for all others if there are too many."""
-    is_known = name in counts or len(counts) < most
+def _count_bounded(counts: Counter[str], name: str, *, limit: int) -> None:
+    """Count under a name, or under `OTHER` if there are too many names."""
+    is_known = name in counts or len(counts) < limit
     counts[name if is_known else OTHER] += 1
 
 
-def _present(
+def _waiting_now(
     waits: ServiceWaits,
     priority: int,
     *,
-    asked_at: Callable[[bytes], float | None],
+    first_attempt_at: Callable[[bytes], float | None],
     now: float,
 ) -> dict:
-    """Return what waits now of one priority."""
-    until = now + MARGIN_RUNS * run_seconds(waits.candidates)
+    """Return the summary fields of the queued flows of one priority."""
+    until = now + MARGIN_RUNS * median_service_seconds(waits.candidates)
     timely = [flow for flow in waits.flows if flow.in_time_until >= until]
     own = [flow for flow in waits.flows if flow.priority == priority]
     in_time = sum(flow.priority == priority for flow in timely)
-    moments = [asked_at(flow.flow) for flow in own]
+    moments = [first_attempt_at(flow.flow) for flow in own]
     ages = [max(0.0, now - moment) for moment in moments if moment is not None]
     ahead = sum(flow.priority <= priority for flow in timely)
     return {
@@ -224,27 +227,27 @@
     }
 
 
-def _gained(summary: WaitingSummary, before: WaitingSummary | None) -> dict:
-    """Return a line's fields: what waits, and what has come since the last one."""
-    before = before or WaitingSummary(
+def _changes_since(summary: WaitingSummary, previous: WaitingSummary | None) -> dict:
+    """Return a log line's fields: queued flows, and changes since the last line."""
+    previous = previous or WaitingSummary(
         service=summary.service,
         priority=summary.priority,
         aim_seconds=summary.aim_seconds,
     )
     refused = Counter(summary.refused_by_reason)
-    refused.subtract(before.refused_by_reason)
+    refused.subtract(previous.refused_by_reason)
     served = sum(summary.served_by_data_centre.values())
-    served -= sum(before.served_by_data_centre.values())
-    waits = summary.wait_seconds - before.wait_seconds
+    served -= sum(previous.served_by_data_centre.values())
+    waits = summary.wait_seconds - previous.wait_seconds
     return {
         "service": summary.service,
         "priority": summary.priority,
         "in_time": summary.in_time,
         "late": summary.late,
         "oldest_seconds": round(summary.oldest_seconds, 3),
-        "asked": summary.asked - before.asked,
+        "asked": summary.asked - previous.asked,
         "served": served,
-        "served_late": summary.served_late - before.served_late,
+        "served_late": summary.served_late - previous.served_late,
         "mean_wait_seconds": round(waits / served, 3) if served else None,
         "refused": {reason: count for reason, count in refused.items() if count},
     }
--- a/monsoonpier/balancer/packets/first_asked.py
+++ b/monsoonpier/balancer/packets/first_asked.py
@@ -1,19 +1,17 @@
-"""When callers first asked, for all balancers of a data centre.
+"""Times of callers' first attempts, shared by the balancers of a data centre.
 
-The load that it answers: more callers than slots. A caller whose try ends opens
-another flow from another port, which the fabric hands to any balancer of its data
-centre. Taken for a new caller there it goes before those who can still be answered in
-time, and it waits longer than it is there: its own deadline counts from its first try.
-A slot that is given to it then stands empty.
+A rejected caller opens another flow, which may reach another balancer. Taken for a
+new caller it would overtake flows that can still be served in time, and would wait
+past its own deadline, which counts from its first attempt.
 
-One balancer, the caller's keeper, is told of each refusal. It is asked only for flows
-that have to wait, and answers only if it knows something. A keeper may be lost: its
-callers then count as new ones, as they do with an answer that comes too late.
+One balancer, the caller's directory balancer, is notified of each rejection. It is
+queried only for flows that are queued, and replies only if it has a record. If it is
+lost or replies too late its callers count as new.
 """
 
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.membership import Membership
-from monsoonpier.balancer.packets.returning import EarlierTry, ReturningCallers
+from monsoonpier.balancer.packets.returning import EarlierAttempt, ReturningCallers
 from monsoonpier.model.address import Address
 from monsoonpier.model.rendezvous import top
 from monsoonpier.wire.frames import (
@@ -25,31 +23,31 @@
 )
 from monsoonpier.wire.packet import Packet
 
-__all__ = ["FirstAskedTimes"]
+__all__ = ["FirstAttempts"]
 
 
-class FirstAskedTimes:
-    """This balancer's part of what is kept, and its words to other keepers."""
+class FirstAttempts:
+    """This balancer's records of rejected callers, and its frames to the others."""
 
     def __init__(self, *, membership: Membership, returning: ReturningCallers) -> None:
         self._membership = membership
         self._returning = returning
 
-    def refused(
-        self, packet: Packet, earlier: EarlierTry, *, back_at: float, now: float
+    def note_rejection(
+        self, packet: Packet, earlier: EarlierAttempt, *, back_at: float, now: float
     ) -> list[ToAgent]:
-        """Keep a caller's first ask, or tell its keeper.
+        """Store a rejected attempt, or notify the caller's directory balancer.
 
         Args:
-            packet: The refused one, which names the caller and the service's address.
-            earlier: What is known here of the refused request.
-            back_at: When it learns of the refusal, or gives up by itself.
-            now: The present time.
+            packet: The rejected SYN, which names the caller and the service's address.
+            earlier: The attempts of the rejected request so far.
+            back_at: When the caller learns of the rejection, or gives up by itself.
+            now: The current time.
         """
         if earlier.is_last:
             return []
-        keeper = self._keeper_of(packet)
-        if keeper is None:
+        balancer = self._directory_balancer(packet)
+        if balancer is None:
             self._returning.keep(
                 packet.caller_ip, packet.service_address, earlier, back_at=back_at
             )
@@ -58,18 +56,18 @@
             caller=packet.caller_ip,
             service=_endpoint(packet.service_address),
             asked_ms=to_milliseconds(now - earlier.asked_at),
-            tries=earlier.tries,
+            tries=earlier.attempts,
             back_ms=to_milliseconds(back_at - now),
         )
-        return [ToAgent(endpoint=keeper.endpoint, frame=frame)]
+        return [ToAgent(endpoint=balancer.endpoint, frame=frame)]
 
-    def ask(self, packet: Packet) -> list[ToAgent]:
-        """Return the question when a flow's caller asked first.
+    def query(self, packet: Packet) -> list[ToAgent]:
+        """Return the query for the first attempt of a flow's caller.
 
-        There is none if this balancer is the keeper, which knew when the flow came.
+        Returns none if this balancer is the caller's directory balancer itself.
         """
-        keeper = self._keeper_of(packet)
-        if keeper is None:
+        balancer = self._directory_balancer(packet)
+        if balancer is None:
             return []
         frame = WhenAsked(
             flow=packet.flow,
@@ -77,21 +75,21 @@
             service=_endpoint(packet.service_address),
             waited_ms=to_milliseconds(packet.waited),
         )
-        return [ToAgent(endpoint=keeper.endpoint, frame=frame)]
+        return [ToAgent(endpoint=balancer.endpoint, frame=frame)]
 
-    def told(self, frame: Refused, *, now: float) -> None:
-        """Keep what another balancer says of a caller that it has refused."""
+    def store_rejection(self, frame: Refused, *, now: float) -> None:
+        """Store another balancer's report of a rejected caller."""
         self._returning.keep(
             frame.caller,
             _address(frame.service),
-            EarlierTry(asked_at=now - frame.asked_ms / 1000, tries=frame.tries),
+            EarlierAttempt(asked_at=now - frame.asked_ms / 1000, attempts=frame.tries),
             back_at=now + frame.back_ms / 1000,
         )
 
     def answer(
         self, frame: WhenAsked, *, sender: tuple[str, int], now: float
     ) -> list[ToAgent]:
-        """Answer another balancer's question; a caller that isn't known is new."""
+        """Return the reply to a query; none if the caller has no record here."""
         came_at = now - frame.waited_ms / 1000
         earlier = self._returning.take(
             frame.caller, _address(frame.service), came_at=came_at, now=now
@@ -101,17 +99,17 @@
         answer = FirstAsked(
             flow=frame.flow,
             asked_ms=to_milliseconds(now - earlier.asked_at),
-            tries=earlier.tries,
+            tries=earlier.attempts,
         )
         return [ToAgent(endpoint=sender, frame=answer)]
 
-    def _keeper_of(self, packet: Packet) -> BalancerRecord | None:
-        """Return the balancer that keeps a caller; ``None`` if it is this one."""
+    def _directory_balancer(self, packet: Packet) -> BalancerRecord | None:
+        """Return a caller's directory balancer; ``None`` if it is this one."""
         peers = self._membership.peers
         near_by_name = peers.near_by_name
         subject = f"{packet.caller_ip} {packet.service_address}"
-        (keeper,) = top(subject, near_by_name, count=1)
-        return None if keeper == peers.own.name else near_by_name[keeper]
+        (balancer,) = top(subject, near_by_name, count=1)
+        return None if balancer == peers.own.name else near_by_name[balancer]
 
 
 def _endpoint(address: Address) -> tuple[str, int]:
--- a/monsoonpier/balancer/packets/flows.py
+++ b/monsoonpier/balancer/packets/flows.py
@@ -1,132 +1,148 @@
-"""What a balancer remembers of flows without a token: bounded, may be lost."""
+"""A balancer's bounded table of flows without a token; it may be lost at any time."""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from monsoonpier.balancer.packets.returning import EarlierTry
+from monsoonpier.balancer.packets.returning import EarlierAttempt
 from monsoonpier.wire.packet import Packet, sequence_distance
 
-__all__ = ["FlowHabits", "FlowTable", "Inquiry", "KnownFlow"]
+__all__ = ["FlowStatistics", "FlowTable", "OwnerLookup", "FlowEntry"]
 
-MAX_FLOWS = 65_536  # 13,500 open flows a balancer at the size aimed at, fivefold
-LONG_SECONDS = 2.0  # a flow that still sends then carries more than one request
-SMOOTHING = 0.1  # of what one more flow says of its address
-MAX_FLOW_BYTES = 1 << 30  # a larger step back in the sequence space is a late packet
-MAX_KEPT_PACKETS = 16  # what a caller sends before it waits for an answer
+MAX_FLOWS = 65_536
+LONG_FLOW_SECONDS = 2.0  # a flow still in use then carries several requests
+SMOOTHING = 0.1  # weight of one more flow in its address's statistics
+MAX_FLOW_BYTES = 1 << 30  # a larger acknowledged distance means a reordered packet
+MAX_BUFFERED_PACKETS = 16  # per flow; about one window
 
 
 @dataclass(slots=True, kw_only=True)
-class Inquiry:
-    """A flow whose holder isn't known yet.
+class OwnerLookup:
+    """Progress of the search for a flow's owner.
 
     Attributes:
-        began_at: When the first packet came that nobody was known to take.
-        asked_at: When the keepers, and later the agents, were asked last.
-        packets: What has come meanwhile, the oldest first, for the holder.
-        keepers_left: How many keepers may still answer.
-        asks_agents: The keepers didn't know; the agents were asked.
-        repeats: How often they were asked again without a further packet.
-        tried: The packet that agents were asked to try on their targets.
-        tried_at_by_name: When each of them was asked to.
-        to_try: Those of them that the packet is yet to be sent to.
-        denied: Agents that have answered no.
-        doubtful: Agents that can't know, of targets that have just started.
+        started_at: When the first packet of the flow arrived.
+        queried_at: When directory balancers, or later agents, were last queried.
+        packets: Buffered packets for the owner, the oldest first.
+        pending_replies: How many directory balancers may still reply.
+        has_queried_agents: Whether the agents have been queried.
+        repeats: How often they were queried again without a further packet.
+        probe: The packet that is sent to targets to learn which one owns the flow.
+        probed_at_by_name: When the probe was sent to each target, by name.
+        to_probe: Names of targets that the probe is yet to be sent to.
+        denied: Agents that have denied owning the flow.
+        inconclusive: Agents that can't tell, since their target has just started.
     """
 
-    began_at: float
-    asked_at: float
+    started_at: float
+    queried_at: float
     packets: list[Packet]
-    keepers_left: int = 0
-    asks_agents: bool = False
+    pending_replies: int = 0
+    has_queried_agents: bool = False
     repeats: int = 0
-    tried: Packet | None = None
-    tried_at_by_name: dict[str, float] = field(default_factory=dict)
-    to_try: set[str] = field(default_factory=set)
+    probe: Packet | None = None
+    probed_at_by_name: dict[str, float] = field(default_factory=dict)
+    to_probe: set[str] = field(default_factory=set)
     denied: set[str] = field(default_factory=set)
-    doubtful: set[str] = field(default_factory=set)
+    inconclusive: set[str] = field(default_factory=set)
 
-    def keep(self, packet: Packet) -> None:
-        """Keep a packet until the holder is known; more than a window is lost."""
-        if len(self.packets) < MAX_KEPT_PACKETS:
+    def buffer(self, packet: Packet) -> None:
+        """Buffer a packet; when the buffer is full it replaces the last one."""
+        if len(self.packets) < MAX_BUFFERED_PACKETS:
             self.packets.append(packet)
         else:
             self.packets[-1] = packet
 
 
 @dataclass(slots=True, kw_only=True)
-class KnownFlow:
-    """One flow as this balancer last saw it.
-
-    ``holders`` names the targets that may hold it: several while copies of its
-    SYN are on their way, one after its agent has said so. ``is_queued`` says that
-    the SYN waits at the last of them for a slot. ``asked_at`` is when its caller
-    asked first, on this flow or on one that it was refused before;
-    ``is_asked_for`` says that its keeper was asked when that was. ``heard`` is how
-    long after its first SYN the last copy that came was sent. ``sent_bytes``
-    are the caller's; what it has acknowledged since ``first_acknowledged`` are the
-    answer's.
+class FlowEntry:
+    """An entry of the flow table: one flow as this balancer last saw it.
+
+    Attributes:
+        service: The service that the flow is for.
+        created_at: When the flow's first SYN was sent, or its first packet arrived.
+        first_attempt_at: When the caller sent the first SYN of the request, on this
+            flow or on an earlier one that was rejected.
+        attempts: How many flows the caller has opened for the request.
+        is_attempt_queried: Whether the caller's directory balancer was asked for
+            the first attempt.
+        latest_syn_offset: Seconds after the first SYN at which the latest received
+            retransmission was sent.
+        owners: Names of targets that may own the flow: several while its SYN is
+            hedged, one after an agent has confirmed it.
+        is_confirmed: Whether an agent has confirmed the owner.
+        is_accepted: Whether a target has answered the SYN.
+        is_queued: Whether the SYN waits for a slot at the last of ``owners``.
+        syn: The SYN, until the flow is open.
+        syn_sent_at: When the SYN was last sent to a target.
+        tried: Names of targets that the SYN was sent to.
+        lookup: The search for the owner, while there is one.
+        is_in_statistics: Whether the flow counts in its address's statistics.
+        has_fin: Whether the caller has sent a FIN.
+        sent_bytes: Bytes that the caller has sent.
+        first_acknowledged: The caller's first acknowledgement number, from which
+            the bytes of the response are counted.
     """
 
     service: str
     created_at: float
-    asked_at: float = 0.0
-    tries: int = 1
-    is_asked_for: bool = False
-    heard: float = 0.0
-    holders: tuple[str, ...] = ()
+    first_attempt_at: float = 0.0
+    attempts: int = 1
+    is_attempt_queried: bool = False
+    latest_syn_offset: float = 0.0
+    owners: tuple[str, ...] = ()
     is_confirmed: bool = False
     is_accepted: bool = False
     is_queued: bool = False
     syn: Packet | None = None
-    sent_at: float = 0.0
+    syn_sent_at: float = 0.0
     tried: tuple[str, ...] = ()
-    inquiry: Inquiry | None = None
-    is_counted: bool = False
+    lookup: OwnerLookup | None = None
+    is_in_statistics: bool = False
     has_fin: bool = False
     sent_bytes: int = 0
     first_acknowledged: int | None = None
 
-    def follows(self, earlier: EarlierTry) -> None:
-        """Take the flow for a further try of a request that was refused before."""
-        self.asked_at = min(self.asked_at, earlier.asked_at)
-        self.tries = earlier.tries + 1
+    def link_earlier_attempt(self, earlier: EarlierAttempt) -> None:
+        """Treat the flow as a further attempt of a request that was rejected before."""
+        self.first_attempt_at = min(self.first_attempt_at, earlier.asked_at)
+        self.attempts = earlier.attempts + 1
 
 
 class FlowTable:
-    """The flows seen last, by their address."""
+    """Recently seen flows by their addresses and ports, with LRU eviction."""
 
-    def __init__(self, *, most: int = MAX_FLOWS) -> None:
-        self._most = most
-        self._flows_by_address: OrderedDict[bytes, KnownFlow] = OrderedDict()
+    def __init__(self, *, limit: int = MAX_FLOWS) -> None:
+        self._limit = limit
+        self._flows_by_address: OrderedDict[bytes, FlowEntry] = OrderedDict()
 
     def __len__(self) -> int:
         return len(self._flows_by_address)
 
-    def get(self, flow: bytes) -> KnownFlow | None:
-        """Return what is known of a flow."""
+    def get(self, flow: bytes) -> FlowEntry | None:
+        """Return the entry of a flow, if there is one."""
         return self._flows_by_address.get(flow)
 
-    def touch(self, flow: bytes) -> KnownFlow | None:
-        """Return what is known of a flow, and keep it longest."""
-        known = self._flows_by_address.get(flow)
-        if known is not None:
+    def touch(self, flow: bytes) -> FlowEntry | None:
+        """Return the entry of a flow and mark it as most recently used."""
+        entry = self._flows_by_address.get(flow)
+        if entry is not None:
             self._flows_by_address.move_to_end(flow)
-        return known
+        return entry
 
-    def put(self, flow: bytes, known: KnownFlow) -> None:
-        """Remember a flow; the one seen longest ago makes room."""
-        self._flows_by_address[flow] = known
+    def put(self, flow: bytes, entry: FlowEntry) -> None:
+        """Add a flow; evict the least recently used one if the table is full."""
+        self._flows_by_address[flow] = entry
         self._flows_by_address.move_to_end(flow)
-        if len(self._flows_by_address) > self._most:
+        if len(self._flows_by_address) > self._limit:
             self._flows_by_address.popitem(last=False)
 
     def drop(self, flow: bytes) -> None:
-        """Forget a flow."""
+        """Remove a flow."""
         self._flows_by_address.pop(flow, None)
 
 
-class FlowHabits:
-    """How long the flows to one address last, and how much the short ones carry."""
+class FlowStatistics:
+    """Share of long flows to one address, and mean bytes of the short ones."""
 
     def __init__(self) -> None:
         self._long_share = 0.5
@@ -135,30 +151,30 @@
 
     @property
     def long_share(self) -> float:
-        """How many turn out to carry more than one request, 0 to 1; smoothed."""
+        """Smoothed share of flows that carry several requests, 0 to 1."""
         return self._long_share
 
     @property
     def short_bytes(self) -> float:
-        """Bytes both ways of a flow with one request; smoothed."""
+        """Smoothed bytes in both directions of a flow with one request."""
         return self._short_bytes
 
-    def learn(self, packet: Packet, known: KnownFlow, *, now: float) -> None:
-        """Learn from one packet of a flow; each flow counts once."""
-        if known.is_counted:
+    def observe(self, packet: Packet, entry: FlowEntry, *, now: float) -> None:
+        """Update from one packet of a flow; each flow counts once."""
+        if entry.is_in_statistics:
             return
-        known.sent_bytes += packet.size
-        if known.first_acknowledged is None:
-            known.first_acknowledged = packet.acknowledged
-        is_long = now - known.created_at >= LONG_SECONDS
+        entry.sent_bytes += packet.size
+        if entry.first_acknowledged is None:
+            entry.first_acknowledged = packet.acknowledged
+        is_long = now - entry.created_at >= LONG_FLOW_SECONDS
         if not is_long and not packet.is_fin:
             return
-        known.is_counted = True
+        entry.is_in_statistics = True
         self._long_share += SMOOTHING * (float(is_long) - self._long_share)
         if not is_long:
-            answered = sequence_distance(known.first_acknowledged, packet.acknowledged)
-            carried = known.sent_bytes + (answered if answered < MAX_FLOW_BYTES else 0)
-            # The first few count in full: a balancer in a large fleet sees few.
+            answered = sequence_distance(entry.first_acknowledged, packet.acknowledged)
+            carried = entry.sent_bytes + (answered if answered < MAX_FLOW_BYTES else 0)
+            # A plain mean at first, since each balancer may see few flows.
             self._short_flows += 1
             weight = max(SMOOTHING, 1 / self._short_flows)
             self._short_bytes += weight * (carried - self._short_bytes)
--- a/monsoonpier/balancer/packets/openings.py
+++ b/monsoonpier/balancer/packets/openings.py
@@ -1,24 +1,24 @@
-"""New flows: placed at once, waiting for a slot, or refused."""
+"""New flows: placed on a target, queued for a slot, or rejected."""
 
 import random
 from collections import deque
 
-from monsoonpier.balancer.packets.flows import FlowHabits, KnownFlow
+from monsoonpier.balancer.packets.flows import FlowEntry, FlowStatistics
 from monsoonpier.balancer.packets.placement import (
     PlacementQuery,
     has_room,
+    median_service_seconds,
     place,
     reliable,
-    run_seconds,
 )
 from monsoonpier.balancer.packets.queueing import (
-    CannotWait,
-    FlowQueueing,
-    gives_up_at,
+    FlowBacklog,
+    QueueRejection,
     is_in_time,
+    wait_expires_at,
 )
-from monsoonpier.balancer.packets.returning import EarlierTry
-from monsoonpier.balancer.packets.scope import PacketScope
+from monsoonpier.balancer.packets.returning import EarlierAttempt
+from monsoonpier.balancer.packets.scope import SteeringContext
 from monsoonpier.balancer.steering import Candidate, Chosen, NoTarget
 from monsoonpier.model.address import Address
 from monsoonpier.model.service import PacketRoute
@@ -34,133 +34,135 @@
 )
 from monsoonpier.wire.packet import Packet
 
-__all__ = ["FlowOpenings"]
+__all__ = ["NewFlowHandler"]
 
-HEDGE_SECONDS = 0.06  # twenty times a SYN's way to a target and back
-# Answers that are late because a link is full must not fill it further: at most
-# this share of SYNs is sent again, as retry budgets do.
+HEDGE_SECONDS = 0.06  # without an answer, a SYN is sent to another target
+# Hedge budget, as a share of the SYNs sent: keeps hedging from adding to the
+# congestion of a full link.
 HEDGE_SHARE = 0.2
 MAX_HEDGES = 10.0
-# A SYN that waits at an agent: a flow in time waits for one run there, late ones for
-# longer. After that its agent may have ended.
+# An agent that has queued a SYN and sends nothing for this long may have ended.
 QUEUE_SILENCE_SECONDS = 0.7
-GIVE_UP_SECONDS = 1.4  # after which callers open another flow, by the platform
-MOST_PLACEMENTS = 6  # of one SYN in a row; then it waits for news of a free slot
+GIVE_UP_SECONDS = 1.4  # after the first SYN, callers open another flow
+MAX_PLACEMENTS = 6  # of one SYN in a row, before it is queued for a slot
 
 
-class FlowOpenings:
-    """Decides on SYNs and on what targets answer to them. Does no I/O.
+class NewFlowHandler:
+    """Handles SYNs and the answers of targets to them. Does no I/O.
 
     Args:
-        scope: What the balancer knows.
-        reserves: Whether flows that wait reserve slots at agents.
+        context: State shared by the decisions of this balancer.
+        reserves: Whether queued flows reserve slots at agents.
     """
 
-    def __init__(self, *, scope: PacketScope, reserves: bool) -> None:
-        self._scope = scope
-        self._habits_by_address: dict[Address, FlowHabits] = {}
+    def __init__(self, *, context: SteeringContext, reserves: bool) -> None:
+        self._context = context
+        self._statistics_by_address: dict[Address, FlowStatistics] = {}
         self._unanswered: deque[tuple[float, bytes]] = deque()
-        self._queueing = FlowQueueing(scope=scope, reserves=reserves)
+        self._backlog = FlowBacklog(context=context, reserves=reserves)
         self._hedges_left = MAX_HEDGES
         self.wait_seconds = Histogram(
-            name="flow_wait_seconds", help="From a flow's first SYN to a target."
+            name="flow_wait_seconds",
+            help="Seconds from a flow's first SYN until it is sent to a target.",
         )
         self.load_age_seconds = Histogram(
-            name="load_age_seconds", help="Age of what placed a flow."
+            name="load_age_seconds",
+            help="Age in seconds of the load report used to place a flow.",
         )
 
     @property
     def is_waiting(self) -> bool:
-        """Whether `retry` has something to look after."""
-        return bool(self._unanswered) or len(self._queueing) > 0
+        """Whether `retry` has pending work."""
+        return bool(self._unanswered) or len(self._backlog) > 0
 
     @property
     def waiting_by_service(self) -> dict[str, list[WaitingFlow]]:
-        """All that wait here for a slot."""
-        return self._queueing.flows_by_service
+        """Flows queued here for a slot, by service."""
+        return self._backlog.flows_by_service
 
     def configured(self) -> None:
-        """Forget what was learned of addresses that have no route any more."""
-        routes = self._scope.membership.configuration.routes_by_address
-        for address in self._habits_by_address.keys() - routes.keys():
-            del self._habits_by_address[address]
+        """Drop the profiles of addresses that no longer have a route."""
+        routes = self._context.membership.configuration.routes_by_address
+        for address in self._statistics_by_address.keys() - routes.keys():
+            del self._statistics_by_address[address]
 
     def open(
         self,
         packet: Packet,
-        known: KnownFlow | None,
+        entry: FlowEntry | None,
         *,
         now: float,
         draw: random.Random,
     ) -> list:
-        """Decide on a SYN or a copy of one."""
-        if known is not None:
-            known.heard = max(known.heard, packet.waited)
-        if packet.flow in self._queueing:
-            return self._queueing.copy_came(packet, now=now)
-        if known is not None and known.syn is None and not known.is_confirmed:
-            known = None  # Known from a question only: its caller's ports are new.
-        if known is not None and known.holders:
-            # A copy goes where the flow may be open already; only a target that
-            # has not answered the first one in time is passed over.
-            is_answered = known.is_accepted or known.is_confirmed or known.is_queued
-            if is_answered or now - known.sent_at < HEDGE_SECONDS:
-                return self._scope.carry(packet, known, names=known.holders[-1:])
-            return self._place(packet, known, now=now, draw=draw)
-        route = self._scope.route(packet)
+        """Handle a SYN or a retransmission of one."""
+        if entry is not None:
+            entry.latest_syn_offset = max(entry.latest_syn_offset, packet.waited)
+        if packet.flow in self._backlog:
+            return self._backlog.note_retransmission(packet, now=now)
+        if entry is not None and entry.syn is None and not entry.is_confirmed:
+            # Only a lookup created the entry: the caller reuses the ports.
+            entry = None
+        if entry is not None and entry.owners:
+            # A retransmission goes to the target that may have opened the flow,
+            # unless that target has not answered the earlier SYN in time.
+            is_answered = entry.is_accepted or entry.is_confirmed or entry.is_queued
+            if is_answered or now - entry.syn_sent_at < HEDGE_SECONDS:
+                return self._context.forward(packet, entry, names=entry.owners[-1:])
+            return self._place(packet, entry, now=now, draw=draw)
+        route = self._context.route(packet)
         if route is None:
-            self._scope.counts_by_result["no_route"] += 1
-            if not self._scope.membership.configuration.version:
+            self._context.counts_by_result["no_route"] += 1
+            if not self._context.membership.configuration.version:
                 return []
-            return [self._scope.reset(packet, "no route", now=now)]
-        known = KnownFlow(
-            service=self._scope.choose_service(packet, route, now=now),
+            return [self._context.reset_caller(packet, "no route", now=now)]
+        entry = FlowEntry(
+            service=self._context.choose_service(packet, route, now=now),
             created_at=now - packet.waited,
-            asked_at=now - packet.waited,
-            heard=packet.waited,
+            first_attempt_at=now - packet.waited,
+            latest_syn_offset=packet.waited,
             syn=packet,
         )
-        earlier = self._scope.returning.earlier(packet, now=now)
+        earlier = self._context.returning_callers.earlier(packet, now=now)
         if earlier is not None:
-            known.follows(earlier)
-        self._scope.flows.put(packet.flow, known)
-        self._scope.waits.asked(known.service, route)
-        return self._place(packet, known, now=now, draw=draw)
+            entry.link_earlier_attempt(earlier)
+        self._context.flows.put(packet.flow, entry)
+        self._context.wait_statistics.count_requested(entry.service, route)
+        return self._place(packet, entry, now=now, draw=draw)
 
-    def accepted(self, frame: Held, *, now: float) -> None:
-        """Note that a target has answered a SYN."""
-        self._scope.membership.table.answered_flow(frame.agent)
-        known = self._scope.flows.get(frame.flow)
-        if known is None:
+    def on_accepted(self, frame: Held, *, now: float) -> None:
+        """Record that a target has answered a SYN."""
+        self._context.membership.table.answered_flow(frame.agent)
+        entry = self._context.flows.get(frame.flow)
+        if entry is None:
             return
-        known.is_accepted = True
-        if frame.agent not in known.holders:
-            known.holders = (*known.holders, frame.agent)[-MAX_TRIED:]
+        entry.is_accepted = True
+        if frame.agent not in entry.owners:
+            entry.owners = (*entry.owners, frame.agent)[-MAX_TRIED:]
 
-    def queued(self, frame: Queued, *, now: float) -> list:
-        """Note that a SYN waits at an agent for a slot."""
-        table = self._scope.membership.table
+    def on_queued(self, frame: Queued, *, now: float) -> list:
+        """Record that an agent has queued a SYN for a slot."""
+        table = self._context.membership.table
         table.heard(frame.agent, frame.load, now=now)
         table.answered_flow(frame.agent)
-        self._scope.counts_by_result["queued"] += 1
-        known = self._scope.flows.get(frame.flow)
-        if known is None or known.syn is None or known.holders[-1:] != (frame.agent,):
+        self._context.counts_by_result["queued"] += 1
+        entry = self._context.flows.get(frame.flow)
+        if entry is None or entry.syn is None or entry.owners[-1:] != (frame.agent,):
             return []
-        known.is_queued = True
-        # An agent that ends while the SYN waits there says nothing more of it.
+        entry.is_queued = True
+        # Detects an agent that ends while the SYN is queued there.
         self._unanswered.append((now + QUEUE_SILENCE_SECONDS, frame.flow))
         return []
 
-    def turned(
+    def on_rejected(
         self, frame: Turned, packet: Packet, *, now: float, draw: random.Random
     ) -> list:
-        """Decide on a SYN that a target has turned away."""
-        table = self._scope.membership.table
+        """Place or queue a SYN again that an agent has rejected."""
+        table = self._context.membership.table
         table.heard(frame.agent, frame.load, now=now)
         table.answered_flow(frame.agent)
-        self._scope.counts_by_result["turned"] += 1
-        self._scope.log.note(
-            "flow turned away",
+        self._context.counts_by_result["turned"] += 1
+        self._context.log.note(
+            "flow rejected by agent",
             now=now,
             flow=packet.flow,
             target=frame.agent,
@@ -168,83 +170,83 @@
             tried=frame.tried,
             in_flight=frame.load.in_flight,
         )
-        known = self._scope.flows.get(packet.flow)
-        if known is None or known.is_accepted or known.is_confirmed:
+        entry = self._context.flows.get(packet.flow)
+        if entry is None or entry.is_accepted or entry.is_confirmed:
             return []
-        known.is_queued = False
-        known.holders = tuple(name for name in known.holders if name != frame.agent)
-        if known.holders or packet.flow in self._queueing:
+        entry.is_queued = False
+        entry.owners = tuple(name for name in entry.owners if name != frame.agent)
+        if entry.owners or packet.flow in self._backlog:
             return []
-        return self._place(packet, known, now=now, draw=draw)
+        return self._place(packet, entry, now=now, draw=draw)
 
-    def offered(self, frame: Offer, *, now: float) -> list:
-        """Send an agent that offers a slot the flow that goes first by now."""
-        self._scope.membership.table.heard(frame.agent, frame.load, now=now)
+    def on_offer(self, frame: Offer, *, now: float) -> list:
+        """Send the first queued flow to an agent that offers a slot."""
+        self._context.membership.table.heard(frame.agent, frame.load, now=now)
         actions: list = []
-        while (taken := self._queueing.take_up(frame, now=now)) is not None:
-            flow, withdrawn = taken
-            actions += withdrawn
-            known = self._scope.flows.get(flow)
-            if known is None or known.syn is None or known.holders:
+        while (claimed := self._backlog.claim(frame, now=now)) is not None:
+            flow, cancellations = claimed
+            actions += cancellations
+            entry = self._context.flows.get(flow)
+            if entry is None or entry.syn is None or entry.owners:
                 continue
-            route = self._scope.route(known.syn)
+            route = self._context.route(entry.syn)
             if route is None:
-                actions += self._refuse(known.syn, known, "no route", now=now)
+                actions += self._reject(entry.syn, entry, "no route", now=now)
                 continue
-            self._scope.counts_by_result["taken_up"] += 1
-            table = self._scope.membership.table
-            candidates = table.candidates_of(known.service, now=now)
+            self._context.counts_by_result["taken_up"] += 1
+            table = self._context.membership.table
+            candidates = table.candidates_of(entry.service, now=now)
             return actions + self._send_syn(
-                known.syn,
-                known,
+                entry.syn,
+                entry,
                 route,
                 candidates,
                 frame.agent,
                 is_offered=True,
                 now=now,
             )
-        return actions + self._queueing.decline(frame)
+        return actions + self._backlog.decline(frame)
 
-    def first_asked(self, frame: FirstAsked, *, now: float) -> list:
-        """Take a keeper's word that a flow's caller has asked before."""
-        return self._queueing.first_asked(frame, now=now)
+    def on_first_attempt_reply(self, frame: FirstAsked, *, now: float) -> list:
+        """Apply the first attempt that a caller's directory balancer reports."""
+        return self._backlog.apply_first_attempt(frame, now=now)
 
     def retry(self, *, now: float, draw: random.Random) -> list:
-        """Look after SYNs that wait for a slot or for a target's answer."""
+        """Advance SYNs that wait for a slot or for a target's answer."""
         actions = self.place_waiting(now=now, draw=draw)
-        actions += self._queueing.renew(now=now, draw=draw)
+        actions += self._backlog.renew(now=now, draw=draw)
         return actions + self._retry_unanswered(now=now, draw=draw)
 
     def _place(
-        self, packet: Packet, known: KnownFlow, *, now: float, draw: random.Random
+        self, packet: Packet, entry: FlowEntry, *, now: float, draw: random.Random
     ) -> list:
-        table = self._scope.membership.table
-        candidates = reliable(table.candidates_of(known.service, now=now))
-        if len(known.tried) >= MOST_PLACEMENTS:
-            return self._wait(packet, known, candidates, now=now, draw=draw)
-        route = self._scope.route(packet)
+        table = self._context.membership.table
+        candidates = reliable(table.candidates_of(entry.service, now=now))
+        if len(entry.tried) >= MAX_PLACEMENTS:
+            return self._enqueue(packet, entry, candidates, now=now, draw=draw)
+        route = self._context.route(packet)
         if route is None:
-            return self._refuse(packet, known, "no route", now=now)
-        habits = self._habits(packet)
+            return self._reject(packet, entry, "no route", now=now)
+        statistics = self._statistics(packet)
         query = PlacementQuery(
-            tried=known.tried,
-            data_centre=self._scope.membership.peers.own.data_centre,
-            long_share=habits.long_share,
-            short_bytes=habits.short_bytes,
-            in_time=is_in_time(known, route, candidates, now=now),
+            tried=entry.tried,
+            data_centre=self._context.membership.peers.own.data_centre,
+            long_share=statistics.long_share,
+            short_bytes=statistics.short_bytes,
+            in_time=is_in_time(entry, route, candidates, now=now),
         )
         match place(query, candidates, draw=draw):
             case NoTarget():
-                return self._wait(packet, known, candidates, now=now, draw=draw)
+                return self._enqueue(packet, entry, candidates, now=now, draw=draw)
             case Chosen(record=record):
                 return self._send_syn(
-                    packet, known, route, candidates, record.name, now=now
+                    packet, entry, route, candidates, record.name, now=now
                 )
 
     def _send_syn(
         self,
         packet: Packet,
-        known: KnownFlow,
+        entry: FlowEntry,
         route: PacketRoute,
         candidates: list[Candidate],
         name: str,
@@ -252,22 +254,22 @@
         is_offered: bool = False,
         now: float,
     ) -> list:
-        self._note_placed(packet, known, candidates, name, now=now)
-        known.holders = (*known.holders, name)[-MAX_TRIED:]
-        known.tried = (*known.tried, name)
-        known.sent_at = now
-        self._scope.membership.table.sent_flow(name, now=now)
+        self._note_placed(packet, entry, candidates, name, now=now)
+        entry.owners = (*entry.owners, name)[-MAX_TRIED:]
+        entry.tried = (*entry.tried, name)
+        entry.syn_sent_at = now
+        self._context.membership.table.sent_flow(name, now=now)
         self._unanswered.append((now + HEDGE_SECONDS, packet.flow))
         self._hedges_left = min(MAX_HEDGES, self._hedges_left + HEDGE_SHARE)
-        self._scope.counts_by_result["placed"] += 1
-        return self._carry_syn(
-            packet, known, route, candidates, name, is_offered=is_offered, now=now
+        self._context.counts_by_result["placed"] += 1
+        return self._forward_syn(
+            packet, entry, route, candidates, name, is_offered=is_offered, now=now
         )
 
-    def _carry_syn(
+    def _forward_syn(
         self,
         packet: Packet,
-        known: KnownFlow,
+        entry: FlowEntry,
         route: PacketRoute,
         candidates: list[Candidate],
         name: str,
@@ -275,73 +277,77 @@
         is_offered: bool,
         now: float,
     ) -> list:
-        return self._scope.carry_syn(
+        return self._context.forward_syn(
             packet,
-            known,
+            entry,
             name=name,
-            in_time_seconds=known.asked_at + route.aim_seconds - now,
-            wait_seconds=gives_up_at(known, route, candidates) - now,
+            in_time_seconds=entry.first_attempt_at + route.aim_seconds - now,
+            wait_seconds=wait_expires_at(entry, route, candidates) - now,
             priority=route.priority,
             is_offered=is_offered,
         )
 
-    def _wait(
+    def _enqueue(
         self,
         packet: Packet,
-        known: KnownFlow,
+        entry: FlowEntry,
         candidates: list[Candidate],
         *,
         now: float,
         draw: random.Random,
     ) -> list:
-        """Keep a SYN until a slot comes free, or refuse it if that is too late."""
-        route = self._scope.route(packet)
-        if known.holders or route is None:
-            return []  # One that was asked earlier may still answer.
-        begun = self._queueing.begin(
-            packet, known, route, candidates, now=now, draw=draw
+        """Queue a SYN until a slot is free, or reject it if that would be too late."""
+        route = self._context.route(packet)
+        if entry.owners or route is None:
+            return []  # A target that was sent the SYN may still answer.
+        outcome = self._backlog.enqueue(
+            packet, entry, route, candidates, now=now, draw=draw
         )
-        match begun:
-            case CannotWait(reason=reason):
-                return self._refuse(packet, known, reason, now=now)
-        return begun
+        match outcome:
+            case QueueRejection(reason=reason):
+                return self._reject(packet, entry, reason, now=now)
+        return outcome
 
-    def _refuse(
-        self, packet: Packet, known: KnownFlow, reason: str, *, now: float
+    def _reject(
+        self, packet: Packet, entry: FlowEntry, reason: str, *, now: float
     ) -> list:
-        self._scope.flows.drop(packet.flow)
-        self._scope.counts_by_result["refused"] += 1
-        self._note_refused(packet, known, reason, now=now)
-        back_at = known.created_at + GIVE_UP_SECONDS if packet.waited else now
-        earlier = EarlierTry(asked_at=known.asked_at, tries=known.tries)
-        told = self._scope.first_asked.refused(
+        self._context.flows.drop(packet.flow)
+        self._context.counts_by_result["refused"] += 1
+        self._count_rejected(packet, entry, reason, now=now)
+        back_at = entry.created_at + GIVE_UP_SECONDS if packet.waited else now
+        earlier = EarlierAttempt(
+            asked_at=entry.first_attempt_at, attempts=entry.attempts
+        )
+        notices = self._context.first_attempts.note_rejection(
             packet, earlier, back_at=back_at, now=now
         )
         if packet.waited:
-            # The first SYN may wait at another balancer, or be placed by now: a
-            # reset would end what that one is about to serve.
-            self._scope.log.note(
-                "copy not placed", now=now, flow=packet.flow, reason=reason
+            # The first SYN may be queued or placed at another balancer; a reset
+            # would end a flow that is about to be served.
+            self._context.log.note(
+                "retransmitted SYN not placed", now=now, flow=packet.flow, reason=reason
             )
-            return told
-        return [*told, self._scope.reset(packet, reason, now=now)]
+            return notices
+        return [*notices, self._context.reset_caller(packet, reason, now=now)]
 
-    def _note_refused(
-        self, packet: Packet, known: KnownFlow, reason: str, *, now: float
+    def _count_rejected(
+        self, packet: Packet, entry: FlowEntry, reason: str, *, now: float
     ) -> None:
-        """Count a caller that is told to go; a copy's isn't told anything."""
-        route = self._scope.route(packet)
+        """Count a rejected flow; a retransmission is not rejected, only dropped."""
+        route = self._context.route(packet)
         if route is not None and not packet.waited:
-            self._scope.waits.refused(known.service, route, reason, now=now)
+            self._context.wait_statistics.count_rejected(
+                entry.service, route, reason, now=now
+            )
 
     def place_waiting(self, *, now: float, draw: random.Random) -> list:
-        """Place flows for which a slot has come free, refuse those it's late for."""
-        actions = self._queueing.note_silent_callers(now=now)
-        for flow in self._queueing.expired(now=now):
-            known = self._scope.flows.get(flow)
-            if known is not None and known.syn is not None:
-                actions += self._refuse(known.syn, known, "no slot came free", now=now)
-        for service in self._queueing.services:
+        """Place queued flows on free slots and reject those that have expired."""
+        actions = self._backlog.note_abandoned(now=now)
+        for flow in self._backlog.expired(now=now):
+            entry = self._context.flows.get(flow)
+            if entry is not None and entry.syn is not None:
+                actions += self._reject(entry.syn, entry, "no slot came free", now=now)
+        for service in self._backlog.services:
             actions += self._place_waiting_for(service, now=now, draw=draw)
         return actions
 
@@ -349,83 +355,86 @@
         self, service: str, *, now: float, draw: random.Random
     ) -> list:
         actions: list = []
-        for _ in range(self._queueing.waiting(service)):
-            candidates = self._scope.membership.table.candidates_of(service, now=now)
+        for _ in range(self._backlog.waiting(service)):
+            candidates = self._context.membership.table.candidates_of(service, now=now)
             usable = [c for c in reliable(candidates) if not c.suspected]
-            in_time = self._queueing.sort_out(
-                service, now=now, run_seconds=run_seconds(usable)
+            in_time = self._backlog.update_late(
+                service, now=now, run_seconds=median_service_seconds(usable)
             )
             if not any(has_room(c, in_time=in_time) for c in usable):
                 break
-            flow, withdrawn = self._queueing.pop(service)
-            actions += withdrawn
-            known = self._scope.flows.get(flow)
-            if known is None or known.syn is None:
+            flow, cancellations = self._backlog.pop(service)
+            actions += cancellations
+            entry = self._context.flows.get(flow)
+            if entry is None or entry.syn is None:
                 continue
-            actions += self._place(known.syn, known, now=now, draw=draw)
+            actions += self._place(entry.syn, entry, now=now, draw=draw)
         return actions
 
     def _retry_unanswered(self, *, now: float, draw: random.Random) -> list:
         actions: list = []
         while self._unanswered and self._unanswered[0][0] <= now:
             _, flow = self._unanswered.popleft()
-            known = self._scope.flows.get(flow)
-            if known is None or known.syn is None or known.is_accepted:
+            entry = self._context.flows.get(flow)
+            if entry is None or entry.syn is None or entry.is_accepted:
                 continue
-            if not known.holders or now - known.sent_at < HEDGE_SECONDS * 0.9:
+            if not entry.owners or now - entry.syn_sent_at < HEDGE_SECONDS * 0.9:
                 continue
-            if known.is_queued and now - known.sent_at < QUEUE_SILENCE_SECONDS * 0.9:
+            if (
+                entry.is_queued
+                and now - entry.syn_sent_at < QUEUE_SILENCE_SECONDS * 0.9
+            ):
                 continue
-            known.is_queued = False
-            self._scope.counts_by_result["unanswered"] += 1
-            self._scope.log.note(
+            entry.is_queued = False
+            self._context.counts_by_result["unanswered"] += 1
+            self._context.log.note(
                 "target did not answer",
                 now=now,
                 flow=flow,
-                target=known.holders[-1],
-                waited_seconds=round(now - known.sent_at, 3),
+                target=entry.owners[-1],
+                waited_seconds=round(now - entry.syn_sent_at, 3),
             )
-            self._scope.membership.table.not_answered(known.holders[-1])
+            self._context.membership.table.not_answered(entry.owners[-1])
             if self._hedges_left < 1:
                 continue
             self._hedges_left -= 1
-            actions += self._place(known.syn, known, now=now, draw=draw)
+            actions += self._place(entry.syn, entry, now=now, draw=draw)
         return actions
 
-    def learn_habits(self, packet: Packet, known: KnownFlow, *, now: float) -> None:
-        """Learn from a packet how long the flows of its address last."""
-        if known.is_counted or known.syn is None and not known.tried:
-            return  # Flows that were opened elsewhere have an unknown age.
-        self._habits(packet).learn(packet, known, now=now)
+    def observe_flow(self, packet: Packet, entry: FlowEntry, *, now: float) -> None:
+        """Update the profile of a packet's address."""
+        if entry.is_in_statistics or entry.syn is None and not entry.tried:
+            return  # The age of a flow opened through another balancer is unknown.
+        self._statistics(packet).observe(packet, entry, now=now)
 
-    def _habits(self, packet: Packet) -> FlowHabits:
-        habits = self._habits_by_address
-        return habits.setdefault(packet.service_address, FlowHabits())
+    def _statistics(self, packet: Packet) -> FlowStatistics:
+        statistics = self._statistics_by_address
+        return statistics.setdefault(packet.service_address, FlowStatistics())
 
     def _note_placed(
         self,
         packet: Packet,
-        known: KnownFlow,
+        entry: FlowEntry,
         candidates: list[Candidate],
         name: str,
         *,
         now: float,
     ) -> None:
         chosen = next(c for c in candidates if c.record.name == name)
-        load_age = self._scope.membership.table.load_age(name, now=now)
-        self.wait_seconds.observe(now - known.created_at)
+        load_age = self._context.membership.table.load_age(name, now=now)
+        self.wait_seconds.observe(now - entry.created_at)
         self.load_age_seconds.observe(load_age)
-        self._scope.log.note(
+        self._context.log.note(
             "flow placed",
             now=now,
             flow=packet.flow,
-            service=known.service,
+            service=entry.service,
             target=name,
             of=len(candidates),
-            tried=known.tried,
+            tried=entry.tried,
             in_flight=chosen.load.in_flight,
             sent_since=chosen.sent_since,
             load_number=chosen.load.number,
             load_age=round(load_age, 3),
-            version=self._scope.membership.configuration.version,
+            version=self._context.membership.configuration.version,
         )
--- a/monsoonpier/balancer/packets/presence.py
+++ b/monsoonpier/balancer/packets/presence.py
@@ -1,12 +1,11 @@
-"""Whether callers whose flows wait for a slot are likely to be there still.
+"""Detection of callers that have left while their flows wait for a slot.
 
-The load that it answers: more callers than slots. A caller that has left by its own
-deadline says nothing; a slot that is given to its flow stands empty until its agent
-gives it up. While a caller waits it sends its SYN again at known times, so one that
-doesn't is doubtful. It may be there all the same, since a copy may be lost: its flow
-goes after all others, keeps waiting, and has its place again when a copy comes.
+A waiting caller retransmits its SYN at known times. If a retransmission is missing
+the flow is presumed abandoned: a slot given to it would stay empty until its agent
+times out. The retransmission may also be lost, so the flow stays queued behind all
+others and regains its place when the next one arrives.
 
-A further flow of the same address is no sign: several users may share one.
+A new flow from the same address proves nothing: several users may share it.
 """
 
 import heapq
@@ -14,82 +13,93 @@
 
 __all__ = ["CallerPresence"]
 
-COPIES_AT_SECONDS = (0.2, 0.6)  # after the first SYN, by the platform
-MARGIN_SECONDS = 0.1  # a full link's queue, twice
+RETRANSMISSION_OFFSETS_SECONDS = (0.2, 0.6)  # after the first SYN
+MARGIN_SECONDS = 0.1  # allowed delay of a retransmission
 
 
 @dataclass(slots=True, kw_only=True)
 class _Caller:
-    """A caller that waits.
+    """A caller whose flow is queued.
 
     Attributes:
-        began_at: When its first SYN came, or would have.
-        heard: Seconds after that at which the last copy that came was sent.
-        is_doubtful: A later one was due and hasn't come.
+        first_syn_at: When its first SYN was sent.
+        latest_syn_offset: Seconds after that at which the latest received
+            retransmission was sent.
+        is_presumed_abandoned: Whether a later one was due and is missing.
     """
 
-    began_at: float
-    heard: float
-    is_doubtful: bool = False
+    first_syn_at: float
+    latest_syn_offset: float
+    is_presumed_abandoned: bool = False
 
 
 class CallerPresence:
-    """Callers by the flow that waits. Does no I/O."""
+    """Tracks the callers of queued flows. Does no I/O."""
 
     def __init__(self) -> None:
         self._callers_by_flow: dict[bytes, _Caller] = {}
-        self._due: list[tuple[float, float, bytes]] = []  # a heap, by time
+        self._deadlines: list[tuple[float, float, bytes]] = []  # a heap, by time
 
     def __len__(self) -> int:
         return len(self._callers_by_flow)
 
-    def waits(self, flow: bytes, *, began_at: float, heard: float, now: float) -> bool:
-        """Note a flow that waits from now on; tell if its caller is doubtful.
+    def track(
+        self, flow: bytes, *, first_syn_at: float, latest_syn_offset: float, now: float
+    ) -> bool:
+        """Track a newly queued flow; return whether it is presumed abandoned.
 
         Args:
-            flow: Its addresses and ports.
-            began_at: When its first SYN came.
-            heard: Seconds after that at which the last copy that came was sent.
-            now: The present time.
+            flow: The flow's addresses and ports.
+            first_syn_at: When its first SYN was sent.
+            latest_syn_offset: Seconds after that at which the latest received
+                retransmission was sent.
+            now: The current time.
         """
-        caller = _Caller(began_at=began_at, heard=heard)
+        caller = _Caller(first_syn_at=first_syn_at, latest_syn_offset=latest_syn_offset)
         self._callers_by_flow[flow] = caller
-        for copy_at in COPIES_AT_SECONDS:
-            due_at = began_at + copy_at + MARGIN_SECONDS
-            if copy_at <= heard:
+        for offset in RETRANSMISSION_OFFSETS_SECONDS:
+            due_at = first_syn_at + offset + MARGIN_SECONDS
+            if offset <= latest_syn_offset:
                 continue
             if due_at <= now:
-                caller.is_doubtful = True
+                caller.is_presumed_abandoned = True
             else:
-                heapq.heappush(self._due, (due_at, copy_at, flow))
-        return caller.is_doubtful
+                heapq.heappush(self._deadlines, (due_at, offset, flow))
+        return caller.is_presumed_abandoned
 
-    def heard(self, flow: bytes, *, waited: float) -> bool:
-        """Note a copy of a waiting flow's SYN; tell if its caller was doubtful."""
+    def note_retransmission(self, flow: bytes, *, waited: float) -> bool:
+        """Record a retransmission; return whether the flow was presumed abandoned."""
         caller = self._callers_by_flow.get(flow)
-        if caller is None or waited <= caller.heard:
+        if caller is None or waited <= caller.latest_syn_offset:
             return False
-        caller.heard = waited
-        was_doubtful, caller.is_doubtful = caller.is_doubtful, False
-        return was_doubtful
-
-    def doubts(self, flow: bytes) -> bool:
-        """Tell whether a waiting flow's caller is doubtful."""
+        caller.latest_syn_offset = waited
+        was_presumed_abandoned, caller.is_presumed_abandoned = (
+            caller.is_presumed_abandoned,
+            False,
+        )
+        return was_presumed_abandoned
+
+    def is_presumed_abandoned(self, flow: bytes) -> bool:
+        """Return whether a queued flow is presumed abandoned."""
         caller = self._callers_by_flow.get(flow)
-        return caller is not None and caller.is_doubtful
+        return caller is not None and caller.is_presumed_abandoned
 
-    def gone(self, flow: bytes) -> None:
-        """Forget a flow that waits no longer."""
+    def forget(self, flow: bytes) -> None:
+        """Stop tracking a flow that is no longer queued."""
         self._callers_by_flow.pop(flow, None)
 
-    def turned_doubtful(self, *, now: float) -> list[bytes]:
-        """Return the flows whose callers have just failed to send a copy."""
+    def pop_abandoned(self, *, now: float) -> list[bytes]:
+        """Return the flows that have newly missed a retransmission, and mark them."""
         flows: list[bytes] = []
-        while self._due and self._due[0][0] <= now:
-            _, copy_at, flow = heapq.heappop(self._due)
+        while self._deadlines and self._deadlines[0][0] <= now:
+            _, offset, flow = heapq.heappop(self._deadlines)
             caller = self._callers_by_flow.get(flow)
-            if caller is None or caller.is_doubtful or caller.heard >= copy_at:
+            if (
+                caller is None
+                or caller.is_presumed_abandoned
+                or caller.latest_syn_offset >= offset
+            ):
                 continue
-            caller.is_doubtful = True
+            caller.is_presumed_abandoned = True
             flows.append(flow)
         return flows
--- a/monsoonpier/balancer/packets/process.py
+++ b/monsoonpier/balancer/packets/process.py
@@ -1,4 +1,4 @@
-"""A balancer of flows without a token: sockets and tasks around the decisions."""
+"""Process of a balancer of flows without a token: sockets, tasks and metrics."""
 
 import asyncio
 import random
@@ -11,7 +11,7 @@
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.balancer.packets.scope import ResetCaller
 from monsoonpier.balancer.packets.steering import PacketSteering
-from monsoonpier.balancer.packets.wait_readings import wait_readings
+from monsoonpier.balancer.packets.wait_readings import wait_metrics
 from monsoonpier.balancer.stored_configuration import ConfigurationFormat
 from monsoonpier.link.schedule import Urgency
 from monsoonpier.link.sender import LinkSender
@@ -29,9 +29,9 @@
 
 __all__ = ["PacketBalancerProcess"]
 
-QUIET_SECONDS = 1.0  # a leaving balancer that has passed nothing this long may stop
-MIN_LEAVE_SECONDS = 1.5  # two missed probes and one more
-MAX_LEAVE_SECONDS = 5.0  # the least time that stops are given, less a second
+QUIET_SECONDS = 1.0  # without a packet, after which a leaving balancer may stop
+MIN_LEAVE_SECONDS = 1.5  # by then probes have failed and the fabric has moved flows
+MAX_LEAVE_SECONDS = 5.0  # a second less than processes are given to stop
 RETRY_CHECK_SECONDS = 0.02
 _log = structlog.get_logger("monsoonpier.balancer.packets.process")
 
@@ -40,10 +40,11 @@
     """Runs one balancer until it has left.
 
     Args:
-        packets: Where callers' packets arrive; callers take theirs at that port.
-        codec: The packets' header.
-        store: Where configuration and balancers are found.
-        configuration_format: How the store's configuration is read.
+        settings: The settings of this process.
+        packets: Address that receives callers' packets; callers use the same port.
+        codec: Codec of the packets.
+        store: The store with configuration and balancers.
+        configuration_format: Format of the configuration in the store.
     """
 
     def __init__(
@@ -98,12 +99,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers' packets should come here."""
+        """Whether callers' packets should be routed here."""
         knows_targets = len(self._membership.table) > 0
         return self._life.is_ready and knows_targets and self._member.is_in_contact
 
     async def run(self) -> None:
-        """Serve until asked to leave and traffic has moved.
+        """Serve until asked to leave and traffic has moved to other balancers.
 
         Raises:
             OSError: If a port is taken.
@@ -124,7 +125,7 @@
     async def _leave_and_finish(self) -> None:
         await self._life.wait_for_leaving()
         began = _now()
-        # A store that doesn't answer must not take the time for callers' packets.
+        # A task, so that an unresponsive store doesn't delay callers' packets.
         leaving = asyncio.create_task(self._member.leave())
         while _now() - began < MAX_LEAVE_SECONDS:
             await asyncio.sleep(0.1)
@@ -148,7 +149,7 @@
             self._drop(packet.reason)
             return
         self._last_passed = now
-        self._do(self._steering.from_caller(packet, now=now, draw=self._draw))
+        self._perform(self._steering.from_caller(packet, now=now, draw=self._draw))
 
     def _take_frame(self, frame, sender: tuple[str, int]) -> None:
         packet: Packet | None = None
@@ -164,9 +165,9 @@
         if actions is None:
             self._drop("unexpected")
             return
-        self._do(actions)
+        self._perform(actions)
 
-    def _do(self, actions: list) -> None:
+    def _perform(self, actions: list) -> None:
         for action in actions:
             match action:
                 case ToAgent(endpoint=endpoint, frame=frame, flow=flow):
@@ -176,11 +177,11 @@
                     self._send_reset(packet)
         if self._retry is None and self._steering.is_waiting:
             loop = asyncio.get_running_loop()
-            self._retry = loop.call_later(RETRY_CHECK_SECONDS, self._look_after)
+            self._retry = loop.call_later(RETRY_CHECK_SECONDS, self._run_retries)
 
-    def _look_after(self) -> None:
+    def _run_retries(self) -> None:
         self._retry = None
-        self._do(self._steering.retry(now=_now(), draw=self._draw))
+        self._perform(self._steering.retry(now=_now(), draw=self._draw))
 
     def _send_reset(self, packet: Packet) -> None:
         reset = self._codec.reset(packet.flow, acknowledged=packet.acknowledged)
@@ -195,34 +196,57 @@
 
     def _metrics(self):
         membership = self._membership
-        yield gauge("uptime_seconds", "Time since start.", _now() - self._started)
-        yield gauge("targets", "Targets known.", len(membership.table))
+        yield gauge(
+            "uptime_seconds",
+            "Seconds since the process started.",
+            _now() - self._started,
+        )
+        yield gauge("targets", "Number of known targets.", len(membership.table))
         balancers = len(membership.peers.records_by_name)
-        yield gauge("balancers", "Balancers known.", balancers)
-        yield gauge("flows", "Flows remembered.", self._steering.flows)
+        yield gauge("balancers", "Number of known balancers.", balancers)
+        yield gauge("flows", "Number of flows in the flow table.", self._steering.flows)
         version = membership.configuration.version
-        yield gauge("configuration_version", "Version in force.", version)
+        yield gauge(
+            "configuration_version", "Version of the configuration in force.", version
+        )
         age = _now() - self._configured_at
-        yield gauge("configuration_age_seconds", "Since it came in force.", age)
+        yield gauge(
+            "configuration_age_seconds",
+            "Seconds since the configuration came into force.",
+            age,
+        )
         yield from self._steering.histograms
-        yield from wait_readings(
+        yield from wait_metrics(
             self._steering.waiting(now=_now()),
             data_centre=self._settings.data_centre,
         )
         yield from self._sender.readings
         yield self._store.call_seconds
         generation = membership.store_generation
-        yield gauge("store_generation", "The store's, as known.", generation.number)
+        yield gauge(
+            "store_generation", "Last known generation of the store.", generation.number
+        )
         returns = generation.returns_by_source
-        yield counter("store_returns", "Returns from copies.", returns, "source")
+        yield counter(
+            "store_returns", "Restores of the store from a backup.", returns, "source"
+        )
         results = self._steering.counts_by_result
-        yield counter("flow_decisions", "Decisions on flows.", results, "result")
+        yield counter(
+            "flow_decisions", "Decisions on flows, by result.", results, "result"
+        )
         opened = self._steering.opened_by_service
-        yield counter("opened_flows", "New flows by service.", opened, "service")
+        yield counter("opened_flows", "New flows, by service.", opened, "service")
         drops = self._dropped_by_reason | self._member.dropped_by_reason
-        yield counter("dropped_datagrams", "Datagrams not used.", drops, "reason")
+        yield counter(
+            "dropped_datagrams", "Dropped datagrams, by reason.", drops, "reason"
+        )
         control = self._member.bytes_by_direction
-        yield counter("control_bytes", "Control traffic.", control, "direction")
+        yield counter(
+            "control_bytes",
+            "Bytes of control traffic, by direction.",
+            control,
+            "direction",
+        )
 
 
 def _now() -> float:
--- a/monsoonpier/balancer/packets/queueing.py
+++ b/monsoonpier/balancer/packets/queueing.py
@@ -1,282 +1,287 @@
-"""Flows that wait for a slot: whether they may, in which order, until when.
+"""Queueing of flows for a slot: admission, order and expiry.
 
-The load that it answers: all slots of a service are taken for seconds, and callers
-give up, come back and leave meanwhile. What is known of a flow's caller decides on its
-place: when it first asked, on whichever balancer, and whether it is there still.
+A flow's place depends on when its caller sent its first SYN, to whichever balancer,
+and on whether the caller is still retransmitting.
 """
 
 import random
 from dataclasses import dataclass
 
-from monsoonpier.balancer.packets.flows import KnownFlow
+from monsoonpier.balancer.packets.flows import FlowEntry
 from monsoonpier.balancer.packets.placement import (
+    median_service_seconds,
     reliable,
-    run_seconds,
     wait_for_slot,
 )
 from monsoonpier.balancer.packets.presence import CallerPresence
 from monsoonpier.balancer.packets.reservations import SlotReservations
-from monsoonpier.balancer.packets.returning import EarlierTry
-from monsoonpier.balancer.packets.scope import PacketScope
-from monsoonpier.balancer.packets.waiting import WaitingRoom
+from monsoonpier.balancer.packets.returning import EarlierAttempt
+from monsoonpier.balancer.packets.scope import SteeringContext
+from monsoonpier.balancer.packets.waiting import ServiceQueues
 from monsoonpier.balancer.steering import Candidate
 from monsoonpier.model.service import PacketRoute
 from monsoonpier.model.waiting import MARGIN_RUNS, WaitingFlow
 from monsoonpier.wire.frames import FirstAsked, Offer
 from monsoonpier.wire.packet import Packet
 
-__all__ = ["CannotWait", "FlowQueueing", "gives_up_at", "is_in_time"]
+__all__ = ["QueueRejection", "FlowBacklog", "wait_expires_at", "is_in_time"]
 
-MAX_WAIT_SECONDS = 1.3  # of the 1.4 s after which callers give a SYN up
-# Of the time after which an answer is of no use: the rest is for the run, and for
-# one more try elsewhere.
+MAX_WAIT_SECONDS = 1.3  # callers give up a SYN after 1.4 s
+# Of the route's timeout; the rest is for serving the request and for one more try.
 MAX_WAIT_SHARE = 0.7
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class CannotWait:
-    """A flow's turn wouldn't come before its caller leaves."""
+class QueueRejection:
+    """Why a flow can't be queued."""
 
     reason: str
 
 
-class FlowQueueing:
-    """The flows that wait at one balancer. Does no I/O.
+class FlowBacklog:
+    """The flows queued at one balancer. Does no I/O.
 
     Args:
-        scope: What the balancer knows.
-        reserves: Whether flows that wait reserve slots at agents.
+        context: State shared by the decisions of this balancer.
+        reserves: Whether queued flows reserve slots at agents.
     """
 
-    def __init__(self, *, scope: PacketScope, reserves: bool) -> None:
-        self._scope = scope
-        self._room = WaitingRoom()
+    def __init__(self, *, context: SteeringContext, reserves: bool) -> None:
+        self._context = context
+        self._queues = ServiceQueues()
         self._reservations = SlotReservations(
-            scope=scope, waiting_room=self._room, is_on=reserves
+            context=context, queues=self._queues, is_enabled=reserves
         )
         self._presence = CallerPresence()
 
     def __len__(self) -> int:
-        return len(self._room)
+        return len(self._queues)
 
     def __contains__(self, flow: bytes) -> bool:
-        return flow in self._room
+        return flow in self._queues
 
     @property
     def flows_by_service(self) -> dict[str, list[WaitingFlow]]:
-        """All that wait here."""
-        return self._room.flows_by_service
+        """Queued flows by service."""
+        return self._queues.flows_by_service
 
     @property
     def services(self) -> list[str]:
-        """Names of services that flows wait for."""
-        return self._room.services
+        """Names of services that have queued flows."""
+        return self._queues.services
 
     def waiting(self, service: str) -> int:
-        """Return how many flows wait for the service."""
-        return self._room.waiting(service)
+        """Return how many flows are queued for the service."""
+        return self._queues.waiting(service)
 
-    # Coming and going
+    # Adding and removing flows
 
-    def begin(
+    def enqueue(
         self,
         packet: Packet,
-        known: KnownFlow,
+        entry: FlowEntry,
         route: PacketRoute,
         candidates: list[Candidate],
         *,
         now: float,
         draw: random.Random,
-    ) -> list | CannotWait:
-        """Let a flow wait, if its turn comes before its caller leaves.
+    ) -> list | QueueRejection:
+        """Queue a flow, if a slot is expected before its caller gives up.
 
         Args:
-            packet: Its SYN.
-            known: What is known of it.
-            route: Where its address leads.
-            candidates: The service's targets that are relied on.
-            now: The present time.
-            draw: Random draws.
+            packet: The flow's SYN.
+            entry: The flow's entry in the flow table.
+            route: The route of the flow's address.
+            candidates: The service's targets, without failing ones.
+            now: The current time.
+            draw: Source of random numbers.
 
         Returns:
-            The frames that tell others of it, or why it can't wait.
+            The frames to send to other processes, or why it can't be queued.
         """
-        waiting = _waiting_flow(packet.flow, known, route, candidates)
-        # Others may wait elsewhere too: what waits here is the least.
-        ahead = self._room.ahead(
+        waiting = _waiting_flow(packet.flow, entry, route, candidates)
+        # Flows queued at other balancers are unknown: this is a lower bound.
+        ahead = self._queues.ahead(
             waiting,
-            service=known.service,
-            in_time=is_in_time(known, route, candidates, now=now),
+            service=entry.service,
+            in_time=is_in_time(entry, route, candidates, now=now),
         )
         wait = wait_for_slot(candidates, ahead=ahead)
-        if not self._scope.is_settled(now=now):
-            wait = 0.0  # More targets may just not be known yet.
+        if not self._context.is_converged(now=now):
+            wait = 0.0  # More targets may become known.
         if wait is None:
-            return CannotWait(reason="no target serves")
+            return QueueRejection(reason="no target serves")
         if now + wait >= waiting.expires:
-            return CannotWait(reason="would be late")
-        known.tried = ()
-        if not self._room.add(waiting, service=known.service):
-            return CannotWait(reason="too many wait")
-        self._scope.counts_by_result["waited"] += 1
-        self._scope.log.note(
-            "flow waits for a slot",
+            return QueueRejection(reason="would be late")
+        entry.tried = ()
+        if not self._queues.add(waiting, service=entry.service):
+            return QueueRejection(reason="too many wait")
+        self._context.counts_by_result["waited"] += 1
+        self._context.log.note(
+            "flow queued for a slot",
             now=now,
             flow=packet.flow,
-            service=known.service,
+            service=entry.service,
             ahead=ahead,
             expected_seconds=round(wait, 3),
             at_most_seconds=round(waiting.expires - now, 3),
         )
-        return self._tell_of(packet, known, now=now, draw=draw)
+        return self._announce(packet, entry, now=now, draw=draw)
 
-    def _tell_of(
-        self, packet: Packet, known: KnownFlow, *, now: float, draw: random.Random
+    def _announce(
+        self, packet: Packet, entry: FlowEntry, *, now: float, draw: random.Random
     ) -> list:
         actions: list = []
-        if not known.is_asked_for and known.asked_at >= known.created_at:
-            known.is_asked_for = True
-            actions += self._scope.first_asked.ask(packet)
-        is_doubtful = self._presence.waits(
-            packet.flow, began_at=known.created_at, heard=known.heard, now=now
+        if not entry.is_attempt_queried and entry.first_attempt_at >= entry.created_at:
+            entry.is_attempt_queried = True
+            actions += self._context.first_attempts.query(packet)
+        is_presumed_abandoned = self._presence.track(
+            packet.flow,
+            first_syn_at=entry.created_at,
+            latest_syn_offset=entry.latest_syn_offset,
+            now=now,
         )
-        if is_doubtful:
-            actions += self._rekey(packet.flow, known, now=now)
-        return actions + self._reservations.begin(
-            packet.flow, service=known.service, now=now, draw=draw
+        if is_presumed_abandoned:
+            actions += self._reposition(packet.flow, entry, now=now)
+        return actions + self._reservations.reserve_initial(
+            packet.flow, service=entry.service, now=now, draw=draw
         )
 
     def expired(self, *, now: float) -> list[bytes]:
-        """Return the flows that have waited too long, which then no longer wait."""
-        flows = self._room.expired(now=now)
+        """Remove and return the flows that have waited too long."""
+        flows = self._queues.expired(now=now)
         for flow in flows:
-            self._reservations.end(flow)
-            self._presence.gone(flow)
+            self._reservations.forget(flow)
+            self._presence.forget(flow)
         return flows
 
-    def sort_out(self, service: str, *, now: float, run_seconds: float) -> bool:
-        """Count again who is late; tell whether one in time is left."""
-        return self._room.sort_out(service, now=now, run_seconds=run_seconds)
+    def update_late(self, service: str, *, now: float, run_seconds: float) -> bool:
+        """Reclassify flows as late; return whether one in time is left."""
+        return self._queues.update_late(service, now=now, run_seconds=run_seconds)
 
     def pop(self, service: str) -> tuple[bytes, list]:
-        """Return the flow whose turn it is, which then no longer waits.
+        """Remove and return the first flow in the queue.
 
-        With it the frames that take back what it has reserved.
+        Also returns the frames that cancel its reservations.
         """
-        flow = self._room.pop(service)
-        self._presence.gone(flow)
-        return flow, self._reservations.withdraw(flow)
+        flow = self._queues.pop(service)
+        self._presence.forget(flow)
+        return flow, self._reservations.cancel(flow)
 
-    def take_up(self, offer: Offer, *, now: float) -> tuple[bytes, list] | None:
-        """Return the flow that an offered slot is best given to, if any waits.
+    def claim(self, offer: Offer, *, now: float) -> tuple[bytes, list] | None:
+        """Remove and return the flow that fits an offered slot best, if any.
 
-        With it the frames that take back what it has reserved elsewhere.
+        Also returns the frames that cancel its reservations at other agents.
         """
-        flow = self._reservations.take_up(offer, now=now)
+        flow = self._reservations.claim(offer, now=now)
         if flow is None:
             return None
-        self._presence.gone(flow)
-        return flow, self._reservations.withdraw(flow, kept=offer.agent)
+        self._presence.forget(flow)
+        return flow, self._reservations.cancel(flow, kept=offer.agent)
 
     def decline(self, offer: Offer) -> list:
-        """Return the answer to an offer for which no flow is left."""
+        """Return the frames that decline an offer for which no flow is left."""
         return self._reservations.decline(offer)
 
     def renew(self, *, now: float, draw: random.Random) -> list:
-        """Return the frames that reserve anew for those that wait for long."""
+        """Return the frames that reserve at further agents for long-waiting flows."""
         return self._reservations.renew(now=now, draw=draw)
 
-    # What is learned of callers meanwhile
+    # News of callers
 
-    def copy_came(self, packet: Packet, *, now: float) -> list:
-        """Give a flow its place back whose caller was thought to have left."""
-        known = self._scope.flows.get(packet.flow)
-        if known is None or not self._presence.heard(packet.flow, waited=packet.waited):
+    def note_retransmission(self, packet: Packet, *, now: float) -> list:
+        """Restore the place of a flow that was presumed abandoned."""
+        entry = self._context.flows.get(packet.flow)
+        if entry is None or not self._presence.note_retransmission(
+            packet.flow, waited=packet.waited
+        ):
             return []
-        self._scope.counts_by_result["doubt_ended"] += 1
-        return self._rekey(packet.flow, known, now=now)
+        self._context.counts_by_result["doubt_ended"] += 1
+        return self._reposition(packet.flow, entry, now=now)
 
-    def note_silent_callers(self, *, now: float) -> list:
-        """Let flows go last whose callers failed to send a copy that was due."""
+    def note_abandoned(self, *, now: float) -> list:
+        """Move flows that are now presumed abandoned to the end of the queue."""
         actions: list = []
-        for flow in self._presence.turned_doubtful(now=now):
-            known = self._scope.flows.get(flow)
-            if known is None or flow not in self._room:
-                self._presence.gone(flow)
+        for flow in self._presence.pop_abandoned(now=now):
+            entry = self._context.flows.get(flow)
+            if entry is None or flow not in self._queues:
+                self._presence.forget(flow)
                 continue
-            self._scope.counts_by_result["doubted"] += 1
-            self._scope.log.note(
-                "caller is silent",
+            self._context.counts_by_result["doubted"] += 1
+            self._context.log.note(
+                "flow presumed abandoned",
                 now=now,
                 flow=flow,
-                waited_seconds=round(now - known.created_at, 3),
+                waited_seconds=round(now - entry.created_at, 3),
             )
-            actions += self._rekey(flow, known, now=now)
+            actions += self._reposition(flow, entry, now=now)
         return actions
 
-    def first_asked(self, frame: FirstAsked, *, now: float) -> list:
-        """Take a keeper's word that a flow's caller has asked before."""
-        known = self._scope.flows.get(frame.flow)
-        if known is None or known.syn is None:
+    def apply_first_attempt(self, frame: FirstAsked, *, now: float) -> list:
+        """Apply the first attempt that a caller's directory balancer reports."""
+        entry = self._context.flows.get(frame.flow)
+        if entry is None or entry.syn is None:
             return []
         asked_at = now - frame.asked_ms / 1000
-        known.follows(EarlierTry(asked_at=asked_at, tries=frame.tries))
-        self._scope.counts_by_result["asked_before"] += 1
-        self._scope.log.note(
-            "caller asked before",
+        entry.link_earlier_attempt(
+            EarlierAttempt(asked_at=asked_at, attempts=frame.tries)
+        )
+        self._context.counts_by_result["asked_before"] += 1
+        self._context.log.note(
+            "earlier attempt reported",
             now=now,
             flow=frame.flow,
-            first_asked_seconds=round(now - known.asked_at, 3),
+            first_asked_seconds=round(now - entry.first_attempt_at, 3),
         )
-        return self._rekey(frame.flow, known, now=now)
+        return self._reposition(frame.flow, entry, now=now)
 
-    def _rekey(self, flow: bytes, known: KnownFlow, *, now: float) -> list:
-        """Give a waiting flow the place that what is known of its caller asks for."""
-        route = self._scope.route(known.syn) if known.syn is not None else None
+    def _reposition(self, flow: bytes, entry: FlowEntry, *, now: float) -> list:
+        """Move a queued flow to the place that its entry now calls for."""
+        route = self._context.route(entry.syn) if entry.syn is not None else None
         if route is None:
             return []
-        table = self._scope.membership.table
-        candidates = reliable(table.candidates_of(known.service, now=now))
+        table = self._context.membership.table
+        candidates = reliable(table.candidates_of(entry.service, now=now))
         waiting = _waiting_flow(
             flow,
-            known,
+            entry,
             route,
             candidates,
-            is_doubtful=self._presence.doubts(flow),
+            is_doubtful=self._presence.is_presumed_abandoned(flow),
         )
-        self._room.rekey(waiting, service=known.service)
-        return self._reservations.restate(flow, service=known.service, now=now)
+        self._queues.reposition(waiting, service=entry.service)
+        return self._reservations.update(flow, service=entry.service, now=now)
 
 
 def is_in_time(
-    known: KnownFlow,
+    entry: FlowEntry,
     route: PacketRoute,
     candidates: list[Candidate],
     *,
     now: float,
 ) -> bool:
-    """Tell whether a flow that got a slot now would be answered in time."""
-    needed = MARGIN_RUNS * run_seconds(candidates)
-    return now + needed < known.asked_at + route.aim_seconds
+    """Return whether a flow that got a slot now would meet its latency target."""
+    needed = MARGIN_RUNS * median_service_seconds(candidates)
+    return now + needed < entry.first_attempt_at + route.aim_seconds
 
 
-def gives_up_at(
-    known: KnownFlow, route: PacketRoute, candidates: list[Candidate]
+def wait_expires_at(
+    entry: FlowEntry, route: PacketRoute, candidates: list[Candidate]
 ) -> float:
     """Return until when a SYN may wait for a slot.
 
-    A caller that was refused before has less time left for the whole request: a run
-    that begins at its end is for one that has left.
+    The route's timeout counts from the caller's first SYN, so a caller that was
+    rejected before has less time left.
     """
-    most = min(MAX_WAIT_SECONDS, MAX_WAIT_SHARE * route.timeout_seconds)
-    needed = MARGIN_RUNS * run_seconds(candidates)
-    left_at = known.asked_at + route.timeout_seconds - needed
-    return min(known.created_at + most, left_at)
+    max_wait = min(MAX_WAIT_SECONDS, MAX_WAIT_SHARE * route.timeout_seconds)
+    needed = MARGIN_RUNS * median_service_seconds(candidates)
+    left_at = entry.first_attempt_at + route.timeout_seconds - needed
+    return min(entry.created_at + max_wait, left_at)
 
 
 def _waiting_flow(
     flow: bytes,
-    known: KnownFlow,
+    entry: FlowEntry,
     route: PacketRoute,
     candidates: list[Candidate],
     *,
@@ -284,8 +289,8 @@
 ) -> WaitingFlow:
     return WaitingFlow(
         flow=flow,
-        in_time_until=known.asked_at + route.aim_seconds,
-        expires=gives_up_at(known, route, candidates),
+        in_time_until=entry.first_attempt_at + route.aim_seconds,
+        expires=wait_expires_at(entry, route, candidates),
         priority=route.priority,
         is_doubtful=is_doubtful,
     )
--- a/monsoonpier/balancer/packets/reservations.py
+++ b/monsoonpier/balancer/packets/reservations.py
@@ -1,11 +1,10 @@
-"""Slots that are reserved for flows that wait at this balancer.
-
-The load that it answers: more flows than slots for seconds, at many balancers. A flow
-that waits doesn't know which target comes free first. It reserves a slot at two
-agents, drawn by the speed of their targets, and stays here. The first agent that has
-a slot to give offers it, and is sent the flow that goes first by then: sampling with
-late binding. That takes a few frames a flow, however many balancers and agents there
-are, and no balancer gets more slots than what waits there is due.
+"""Slot reservations at agents for the flows queued at this balancer.
+
+A queued flow reserves a slot at two agents, drawn by the speed of their targets, and
+stays at the balancer. The first agent with a free slot offers it and is sent the flow
+that is first in the queue by then (sampling with late binding). This takes a few
+frames a flow, however many balancers and agents there are, and shares slots among
+balancers by their queues.
 """
 
 import random
@@ -13,9 +12,13 @@
 from dataclasses import dataclass
 
 from monsoonpier.balancer.actions import ToAgent
-from monsoonpier.balancer.packets.placement import fastest_run_seconds, reliable, speed
-from monsoonpier.balancer.packets.scope import PacketScope
-from monsoonpier.balancer.packets.waiting import WaitingRoom
+from monsoonpier.balancer.packets.placement import (
+    fast_service_seconds,
+    reliable,
+    requests_per_second,
+)
+from monsoonpier.balancer.packets.scope import SteeringContext
+from monsoonpier.balancer.packets.waiting import ServiceQueues
 from monsoonpier.balancer.steering import Candidate
 from monsoonpier.model.target import QUEUE_AHEAD
 from monsoonpier.model.waiting import MARGIN_RUNS, RESERVED_AT
@@ -23,48 +26,48 @@
 
 __all__ = ["SlotReservations"]
 
-# An agent that ends forgets what was reserved there. After so long one more is asked,
-# so that a flow has two chances more before its caller gives up.
+# An agent that ends loses its reservations, so a flow that still waits after this
+# long reserves at one more agent.
 RENEW_SECONDS = 0.5
-MAX_AGENTS = 4  # that one flow reserves at in its life
+MAX_AGENTS = 4  # that one flow may reserve at
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Reserved:
+class _Reservation:
     service: str
     renew_at: float
     agents: tuple[str, ...]
 
 
 class SlotReservations:
-    """Reservations of one balancer's waiting flows. Does no I/O.
+    """Reservations of one balancer's queued flows. Does no I/O.
 
     Args:
-        scope: What the balancer knows.
-        waiting_room: Where the flows wait.
-        is_on: Whether anything is reserved at all.
+        context: State shared by the decisions of this balancer.
+        queues: The queued flows.
+        is_enabled: Whether slots are reserved at all.
     """
 
     def __init__(
-        self, *, scope: PacketScope, waiting_room: WaitingRoom, is_on: bool
+        self, *, context: SteeringContext, queues: ServiceQueues, is_enabled: bool
     ) -> None:
-        self._scope = scope
-        self._waiting_room = waiting_room
-        self._is_on = is_on
-        self._reserved_by_flow: dict[bytes, _Reserved] = {}
+        self._context = context
+        self._queues = queues
+        self._is_enabled = is_enabled
+        self._reserved_by_flow: dict[bytes, _Reservation] = {}
 
-    def begin(
+    def reserve_initial(
         self, flow: bytes, *, service: str, now: float, draw: random.Random
     ) -> list[ToAgent]:
-        """Return the frames that reserve a slot for a flow that begins to wait."""
-        if not self._is_on:
+        """Return the frames that reserve slots for a newly queued flow."""
+        if not self._is_enabled:
             return []
         return self._reserve(
             flow, service=service, count=RESERVED_AT, now=now, draw=draw
         )
 
     def renew(self, *, now: float, draw: random.Random) -> list[ToAgent]:
-        """Return the frames that reserve anew for those that wait for long."""
+        """Return the frames that reserve at further agents for long-waiting flows."""
         due = [
             (flow, reserved.service)
             for flow, reserved in self._reserved_by_flow.items()
@@ -78,89 +81,94 @@
             )
         ]
 
-    def restate(self, flow: bytes, *, service: str, now: float) -> list[ToAgent]:
-        """Return the frames that tell agents of the new times of a flow that waits."""
+    def update(self, flow: bytes, *, service: str, now: float) -> list[ToAgent]:
+        """Return the frames that update a queued flow's reservations at its agents.
+
+        Those of a flow that is presumed abandoned are cancelled.
+        """
         reserved = self._reserved_by_flow.get(flow)
-        waiting = self._waiting_room.find(flow, service=service)
+        waiting = self._queues.find(flow, service=service)
         if reserved is None or waiting is None:
             return []
         if waiting.is_doubtful:
-            # A slot that is offered for a caller that has left stands empty.
-            return self._withdrawn(flow, reserved.agents, service=service)
+            # A slot offered for a caller that has left would stay empty.
+            return self._cancel_frames(flow, reserved.agents, service=service)
         names = reserved.agents
-        return self._scope.reserve(waiting, service=service, names=names, now=now)
+        return self._context.reserve(waiting, service=service, names=names, now=now)
 
-    def withdraw(self, flow: bytes, *, kept: str = "") -> list[ToAgent]:
-        """Return the frames that take back what a flow has reserved.
+    def cancel(self, flow: bytes, *, kept: str = "") -> list[ToAgent]:
+        """Return the frames that cancel a flow's reservations.
 
-        Else agents take more for waiting than waits, and offer slots for nothing.
+        Without them agents would offer slots for flows that are no longer queued.
 
         Args:
-            flow: Waits no longer.
-            kept: The target that has offered it a slot.
+            flow: A flow that is no longer queued.
+            kept: Target whose reservation stays, since it has offered the slot.
         """
         reserved = self._reserved_by_flow.pop(flow, None)
         if reserved is None:
             return []
         names = tuple(name for name in reserved.agents if name != kept)
-        return self._withdrawn(flow, names, service=reserved.service)
+        return self._cancel_frames(flow, names, service=reserved.service)
 
-    def _withdrawn(
+    def _cancel_frames(
         self, flow: bytes, names: tuple[str, ...], *, service: str
     ) -> list[ToAgent]:
         frame = Reserve(service=service, flow=flow, in_time_ms=0, wait_ms=0)
-        return self._scope.tell(frame, names=names)
+        return self._context.to_agents(frame, names=names)
 
-    def end(self, flow: bytes) -> None:
-        """Forget a flow that waits no longer; its agents' offers go to others."""
+    def forget(self, flow: bytes) -> None:
+        """Drop a flow that is no longer queued; offers for it go to other flows."""
         self._reserved_by_flow.pop(flow, None)
 
-    def take_up(self, offer: Offer, *, now: float) -> bytes | None:
-        """Return the flow that an offered slot is best given to, if any waits.
+    def claim(self, offer: Offer, *, now: float) -> bytes | None:
+        """Remove from the queue and return the flow that fits an offered slot best.
 
-        It no longer waits then.
+        Returns ``None`` if no flow may take the slot.
         """
-        record = self._scope.membership.table.record(offer.agent)
-        if record is None or not self._waiting_room.certain(record.service):
+        record = self._context.membership.table.record(offer.agent)
+        if record is None or not self._queues.count_present(record.service):
             return None
         service = record.service
         candidates = self._candidates(service, now=now)
-        # It may leave, or its data centre may be evacuated: its agent needn't know.
-        may_take = any(
+        # Its agent may not know yet that the target leaves or is evacuated.
+        accepts_flows = any(
             c.record.name == offer.agent and c.takes_flows for c in candidates
         )
-        if not may_take:
+        if not accepts_flows:
             return None
-        self._waiting_room.sort_out(
-            service, now=now, run_seconds=fastest_run_seconds(candidates)
+        self._queues.update_late(
+            service, now=now, run_seconds=fast_service_seconds(candidates)
         )
-        # It begins behind the run that is under way there.
+        # The flow is served after the request in progress there.
         runs = MARGIN_RUNS + QUEUE_AHEAD / record.slots
-        return self._waiting_room.pop_for(
+        return self._queues.pop_for(
             service,
             is_late_turn=offer.is_late_turn,
             answered_at=now + runs * offer.load.service_ms / 1000,
         )
 
     def decline(self, offer: Offer) -> list[ToAgent]:
-        """Return the answer to an offer for which no flow is left."""
-        record = self._scope.membership.table.record(offer.agent)
+        """Return the frames that decline an offer for which no flow is left."""
+        record = self._context.membership.table.record(offer.agent)
         if record is None:
             return []
-        self._scope.counts_by_result["declined"] += 1
-        return self._scope.tell(Decline(service=record.service), names=(offer.agent,))
+        self._context.counts_by_result["declined"] += 1
+        return self._context.to_agents(
+            Decline(service=record.service), names=(offer.agent,)
+        )
 
     def _reserve(
         self, flow: bytes, *, service: str, count: int, now: float, draw: random.Random
     ) -> list[ToAgent]:
-        waiting = self._waiting_room.find(flow, service=service)
+        waiting = self._queues.find(flow, service=service)
         if waiting is None:
-            self.end(flow)
+            self.forget(flow)
             return []
         if waiting.is_doubtful:
             return []
-        known = self._reserved_by_flow.get(flow)
-        earlier = known.agents if known is not None else ()
+        previous = self._reserved_by_flow.get(flow)
+        earlier = previous.agents if previous is not None else ()
         usable = [
             candidate
             for candidate in self._candidates(service, now=now)
@@ -168,23 +176,26 @@
             and not candidate.suspected
             and candidate.record.name not in earlier
         ]
-        names = _drawn(usable, count=count, draw=draw)
-        self._reserved_by_flow[flow] = _Reserved(
+        names = _sample(usable, count=count, draw=draw)
+        self._reserved_by_flow[flow] = _Reservation(
             service=service,
             renew_at=now + RENEW_SECONDS,
             agents=(*earlier, *names),
         )
-        self._scope.counts_by_result["reserved"] += len(names)
-        return self._scope.reserve(waiting, service=service, names=names, now=now)
+        self._context.counts_by_result["reserved"] += len(names)
+        return self._context.reserve(waiting, service=service, names=names, now=now)
 
     def _candidates(self, service: str, *, now: float) -> list[Candidate]:
-        return reliable(self._scope.membership.table.candidates_of(service, now=now))
+        return reliable(self._context.membership.table.candidates_of(service, now=now))
 
 
-def _drawn(
+def _sample(
     candidates: Sequence[Candidate], *, count: int, draw: random.Random
 ) -> list[str]:
-    """Draw different targets, the faster ones more often."""
-    keyed = [(draw.random() ** (1 / speed(c)), c.record.name) for c in candidates]
+    """Draw distinct targets at random, weighted by speed."""
+    keyed = [
+        (draw.random() ** (1 / requests_per_second(c)), c.record.name)
+        for c in candidates
+    ]
     keyed.sort(reverse=True)
     return [name for _, name in keyed[:count]]
--- a/monsoonpier/balancer/packets/runs.py
+++ b/monsoonpier/balancer/packets/runs.py
@@ -1,89 +1,92 @@
-"""What agents have said of their targets' runs: did targets outlive their agents?
+"""Start times of target instances, as their agents report them.
 
-A balancer that has just started may not know all agents yet, so the word of those
-it knows isn't enough to reset a flow. How long it must wait for others depends on
-what happened before its start, which the agents' answers tell.
+A balancer that has just started may not know all agents yet, so it can't reset a flow
+on the replies of those it knows. How long it waits for others depends on whether the
+targets started with it, after a power loss, or were running before.
 """
 
 from collections.abc import Iterable
 
 from monsoonpier.model.target import ABSENT_SECONDS
 
-__all__ = ["TargetRuns"]
+__all__ = ["TargetInstances"]
 
-MAX_NAMES = 16_384  # three times the targets aimed at
-SAME_OUTAGE_SECONDS = 3.0  # between two VMs' starts after a loss of power
+MAX_NAMES = 16_384
+SAME_OUTAGE_SECONDS = 3.0  # greatest difference of VM starts after a power loss
 
 
-class TargetRuns:
-    """The beginnings of targets' runs as their agents tell. Does no I/O."""
+class TargetInstances:
+    """Start times of targets, by name. Does no I/O."""
 
     def __init__(self) -> None:
-        self._began_at_by_name: dict[str, float | None] = {}
+        self._started_at_by_name: dict[str, float | None] = {}
         self._absent_since_by_name: dict[str, float] = {}
 
-    def told(
+    def record(
         self,
         name: str,
         *,
-        run_seconds: float | None,
+        age_seconds: float | None,
         is_absent: bool = False,
         now: float,
     ) -> None:
-        """Take an agent's word on how long ago its target's run began.
+        """Record an agent's report of its target's age.
 
         Args:
-            name: The target's.
-            run_seconds: ``None`` if the agent can't tell: it has started beside
-                a target that was running already.
-            is_absent: Nobody listens at the target's address, nor has since the
-                agent's start: the run of others tells what happened.
-            now: The present time.
+            name: The target's name.
+            age_seconds: Time since the target started; ``None`` if unknown, as the
+                agent started when the target was already running.
+            is_absent: Whether the agent has found no target since its start.
+            now: The current time.
         """
-        self._began_at_by_name.pop(name, None)
+        self._started_at_by_name.pop(name, None)
         absent = self._absent_since_by_name
         if is_absent and (name in absent or len(absent) < MAX_NAMES):
             absent.setdefault(name, now)
             return
         absent.pop(name, None)
-        began_at = None if run_seconds is None else now - run_seconds
-        self._began_at_by_name[name] = began_at
-        if len(self._began_at_by_name) > MAX_NAMES:
-            del self._began_at_by_name[next(iter(self._began_at_by_name))]
+        started_at = None if age_seconds is None else now - age_seconds
+        self._started_at_by_name[name] = started_at
+        if len(self._started_at_by_name) > MAX_NAMES:
+            del self._started_at_by_name[next(iter(self._started_at_by_name))]
 
-    def has_told(self, name: str) -> bool:
-        """Tell whether an agent has spoken of its target's run."""
-        return name in self._began_at_by_name
+    def has_reported(self, name: str) -> bool:
+        """Return whether an agent has reported on its target."""
+        return name in self._started_at_by_name
 
     def is_absent(self, name: str, *, now: float) -> bool:
-        """Tell whether no target can be left at an agent that has found none.
+        """Return whether an agent has found no target for so long that it has none.
 
-        The agent may have been given up with its VM since.
+        The agent may have been removed with its VM since.
         """
         since = self._absent_since_by_name.get(name, now)
         return now - since >= ABSENT_SECONDS
 
-    def lived_on(self, names: Iterable[str]) -> bool:
-        """Tell whether an agent has started beside a running target."""
-        began_at_by_name = self._began_at_by_name
-        return any(began_at_by_name.get(name, 0.0) is None for name in names)
-
-    def any_began_before(self, names: Iterable[str], *, started_at: float) -> bool:
-        """Tell whether one of these targets is known to be older than this balancer."""
-        earliest = started_at - SAME_OUTAGE_SECONDS
-        told = [n for n in names if n in self._began_at_by_name]
-        began_at = [self._began_at_by_name[name] for name in told]
-        return any(at is None or at <= earliest for at in began_at)
-
-    def all_began_with(self, names: Iterable[str], *, started_at: float) -> bool:
-        """Tell whether all of these targets began about when this balancer did.
-
-        Then power was lost everywhere, and no flow is left from before.
+    def any_older_than_agent(self, names: Iterable[str]) -> bool:
+        """Return whether an agent has started after its target."""
+        started_at_by_name = self._started_at_by_name
+        return any(started_at_by_name.get(name, 0.0) is None for name in names)
+
+    def any_started_before(
+        self, names: Iterable[str], *, balancer_started_at: float
+    ) -> bool:
+        """Return whether a target is known to be older than the balancer."""
+        earliest = balancer_started_at - SAME_OUTAGE_SECONDS
+        known_names = [n for n in names if n in self._started_at_by_name]
+        started_at = [self._started_at_by_name[name] for name in known_names]
+        return any(at is None or at <= earliest for at in started_at)
+
+    def all_started_around(
+        self, names: Iterable[str], *, balancer_started_at: float
+    ) -> bool:
+        """Return whether all of these targets started about when the balancer did.
+
+        Then power was lost everywhere, and no earlier flow is open.
         """
-        earliest = started_at - SAME_OUTAGE_SECONDS
-        latest = started_at + SAME_OUTAGE_SECONDS
+        earliest = balancer_started_at - SAME_OUTAGE_SECONDS
+        latest = balancer_started_at + SAME_OUTAGE_SECONDS
         present = [name for name in names if name not in self._absent_since_by_name]
-        began_at = [self._began_at_by_name.get(name) for name in present]
-        return bool(began_at) and all(
-            at is not None and earliest < at < latest for at in began_at
+        started_at = [self._started_at_by_name.get(name) for name in present]
+        return bool(started_at) and all(
+            at is not None and earliest < at < latest for at in started_at
         )
--- a/monsoonpier/balancer/packets/scope.py
+++ b/monsoonpier/balancer/packets/scope.py
@@ -1,4 +1,4 @@
-"""What all decisions of a balancer on packets share: knowledge and ways to act."""
+"""State shared by a packet balancer's decisions, and the frames that they send."""
 
 from collections import Counter
 from collections.abc import Collection, Iterable
@@ -8,11 +8,11 @@
 
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.membership import ALONE_SECONDS, Membership
-from monsoonpier.balancer.packets.caller_waits import CallerWaits
-from monsoonpier.balancer.packets.first_asked import FirstAskedTimes
-from monsoonpier.balancer.packets.flows import FlowTable, KnownFlow
+from monsoonpier.balancer.packets.caller_waits import WaitStatistics
+from monsoonpier.balancer.packets.first_asked import FirstAttempts
+from monsoonpier.balancer.packets.flows import FlowEntry, FlowTable
 from monsoonpier.balancer.packets.returning import ReturningCallers
-from monsoonpier.balancer.packets.runs import TargetRuns
+from monsoonpier.balancer.packets.runs import TargetInstances
 from monsoonpier.balancer.packets.shares import EarlierServices, choose_service
 from monsoonpier.model.address import Address
 from monsoonpier.model.service import PacketRoute
@@ -28,16 +28,15 @@
 )
 from monsoonpier.wire.packet import Packet
 
-__all__ = ["PacketScope", "ResetCaller", "ServiceAgents"]
+__all__ = ["SteeringContext", "ResetCaller", "ServiceAgents"]
 
-RESTARTED_SECONDS = 0.3  # all that start together have found each other in 0.2 s
-# An agent looks for its target ten times a second, and tells at once that it listens.
-UNMET_SECONDS = 1.0
-HEARD_SECONDS = 1.2  # an agent that lived on has sent a heartbeat by then
+PEER_DISCOVERY_SECONDS = 0.3  # balancers that start together know each other by then
+TARGET_DISCOVERY_SECONDS = 1.0  # a new agent has found its running target by then
+HEARTBEAT_SECONDS = 1.2  # an agent that kept running has sent a heartbeat by then
 
 
 class ResetCaller(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """Send a packet's caller a reset: nobody holds the flow, or takes it."""
+    """Action: reset a packet's flow, which no target owns or accepts."""
 
     packet: Packet
     reason: str
@@ -45,13 +44,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceAgents:
-    """The agents of services that may hold their flows, by what is known of them.
+    """The agents that may own flows of some services.
 
     Attributes:
-        names: All that have not ended, without those where no target is left.
+        names: All agents that have not ended, without those that have no target.
         absent: Those of them that have found no target since their start.
-        starting: Those of them that have met no target yet; after a loss of power
-            everywhere no flow can be there.
+        starting: Those of them that have not reported a target yet; after a power
+            loss everywhere they own no flow.
     """
 
     names: frozenset[str]
@@ -59,17 +58,17 @@
     starting: frozenset[str]
 
 
-class PacketScope:
-    """One balancer's knowledge of targets and flows, and its log of decisions.
+class SteeringContext:
+    """What one balancer knows of targets and flows, and its decision log.
 
     Attributes:
         membership: Targets, peers and the configuration.
-        flows: The flows seen last.
-        runs: What agents have said of their targets' runs.
-        returning: Callers that were reset and may come back, as far as kept here.
-        first_asked: The same, shared with the other balancers of the data centre.
+        flows: Table of recently seen flows.
+        incarnations: When targets started, as their agents report.
+        returning_callers: Rejected callers that may come back, stored here.
+        first_syn_times: The same, shared by the balancers of the data centre.
         counts_by_result: Decisions, for metrics.
-        waits: What became of new flows, by class of work.
+        wait_statistics: Outcomes of new flows, by service and priority.
         opened_by_service: New flows by the service chosen for them, for metrics.
     """
 
@@ -82,42 +81,44 @@
     ) -> None:
         self.membership = membership
         self.flows = FlowTable()
-        self.runs = TargetRuns()
-        self.returning = ReturningCallers()
-        self.first_asked = FirstAskedTimes(
-            membership=membership, returning=self.returning
+        self.instances = TargetInstances()
+        self.returning_callers = ReturningCallers()
+        self.first_attempts = FirstAttempts(
+            membership=membership, returning=self.returning_callers
         )
         self._data_centres = frozenset(data_centres)
         self.log = log
         self.counts_by_result: Counter[str] = Counter()
-        self.waits = CallerWaits()
+        self.wait_statistics = WaitStatistics()
         self.opened_by_service: Counter[str] = Counter()
-        self._earlier = EarlierServices()
+        self._earlier_services = EarlierServices()
         self._services_by_address: dict[Address, frozenset[str]] = {}
 
     @property
     def started_at(self) -> float:
-        """When this balancer started, by its steady clock."""
+        """When this balancer started, on its monotonic clock."""
         return self.membership.started_at
 
     def route(self, packet: Packet) -> PacketRoute | None:
-        """Return where the packet's address leads in the present configuration."""
+        """Return the current route of the packet's address."""
         routes = self.membership.configuration.routes_by_address
         return routes.get(packet.service_address)
 
     def configured(self) -> None:
-        """Take a newer configuration into account."""
-        self._earlier.configured(self.membership.configuration.routes_by_address)
+        """Apply a new configuration."""
+        self._earlier_services.configured(
+            self.membership.configuration.routes_by_address
+        )
         self._services_by_address.clear()
 
     def choose_service(self, packet: Packet, route: PacketRoute, *, now: float) -> str:
         """Return the service that a new flow goes to."""
-        is_settled = self.is_settled(now=now)
+        is_converged = self.is_converged(now=now)
         table = self.membership.table
 
         def serves(service: str) -> bool:
-            # Its targets may just not be known yet.
-            return not is_settled or table.is_served(service, now=now)
+            # Until settled, some targets may not be known.
+            return not is_converged or table.is_served(service, now=now)
 
         choice = choose_service(packet.flow, route, serves=serves)
         self.opened_by_service[choice.service] += 1
@@ -132,17 +133,17 @@
             )
         return choice.service
 
-    def services_of(self, packet: Packet, known: KnownFlow) -> frozenset[str]:
-        """Return the services whose targets may hold a packet's flow."""
-        services = self._named(packet)
-        if known.service in services or not known.service:
+    def services_of(self, packet: Packet, entry: FlowEntry) -> frozenset[str]:
+        """Return the services whose targets may own a packet's flow."""
+        services = self._services_at(packet)
+        if entry.service in services or not entry.service:
             return services
-        return services | {known.service}
+        return services | {entry.service}
 
-    def _named(self, packet: Packet) -> frozenset[str]:
-        """Return the services that a packet's address leads to, or has led to.
+    def _services_at(self, packet: Packet) -> frozenset[str]:
+        """Return the services that a packet's address is or was routed to.
 
-        Kept, since it is asked for with each answer on each dead flow.
+        Cached, since it is needed for each reply on each dead flow.
         """
         address = packet.service_address
         services = self._services_by_address.get(address)
@@ -151,7 +152,7 @@
         route = self.route(packet)
         if route is None:
             return frozenset()
-        services = route.services | self._earlier.of(address)
+        services = route.services | self._earlier_services.get(address)
         self._services_by_address[address] = services
         return services
 
@@ -162,115 +163,134 @@
             names |= self.membership.table.names_of(service)
         return names
 
-    def is_settled(self, *, now: float) -> bool:
-        """Tell whether all targets that can be reached are likely to be known."""
+    def is_converged(self, *, now: float) -> bool:
+        """Return whether all reachable targets are likely to be known."""
         return self.membership.is_settled(now=now)
 
-    def knows_holders_of(self, services: Collection[str], *, now: float) -> bool:
-        """Tell whether no other target can hold a flow that these have denied."""
+    def knows_all_owners_of(self, services: Collection[str], *, now: float) -> bool:
+        """Return whether no unknown target can own a flow of these services."""
         names = self._names_of(services)
-        if self.runs.lived_on(names):
-            # An agent that isn't back yet may stand beside one that holds flows.
+        if self.instances.any_older_than_agent(names):
+            # The agent of a target with open flows may not have restarted yet.
             return now - self.started_at >= ALONE_SECONDS
-        if self._began_with(names, now=now):
+        if self._all_started_with_balancer(names, now=now):
             membership = self.membership
             has_agreed = membership.has_agreed or membership.has_agreed_with_any
-            needed = RESTARTED_SECONDS if has_agreed else HEARD_SECONDS
+            needed = PEER_DISCOVERY_SECONDS if has_agreed else HEARTBEAT_SECONDS
             return now - self.started_at >= needed
-        return self.is_settled(now=now)
+        return self.is_converged(now=now)
 
-    def lost_power_everywhere(self, services: Collection[str], *, now: float) -> bool:
-        """Tell whether the services' targets all began with this balancer.
+    def all_restarted_with_balancer(
+        self, services: Collection[str], *, now: float
+    ) -> bool:
+        """Return whether the services' targets all started when this balancer did.
 
-        In its own data centre alone they may have, so targets of all must be
-        known.
+        Requires known targets in all data centres, since a power loss may have
+        been limited to one.
         """
-        return self._began_with(self._names_of(services), now=now)
+        return self._all_started_with_balancer(self._names_of(services), now=now)
 
-    def _began_with(self, names: Collection[str], *, now: float) -> bool:
+    def _all_started_with_balancer(self, names: Collection[str], *, now: float) -> bool:
         records = self.membership.table.records
-        known = {record.data_centre for record in records}
-        if not self._data_centres or not self._data_centres <= known:
+        known_data_centres = {record.data_centre for record in records}
+        if not self._data_centres or not self._data_centres <= known_data_centres:
             return False
         starting = self._starting(names)
         met = set(names) - starting
-        if not self.runs.all_began_with(met, started_at=self.started_at):
+        if not self.instances.all_started_around(
+            met, balancer_started_at=self.started_at
+        ):
             return False
-        # Where most targets have begun anew in all data centres, those that are yet
-        # to be met have too: to wait for the last one costs its callers 0.3 s.
+        # If most targets in all data centres have restarted, the others have too;
+        # waiting for the last one would delay callers.
         places = {record.data_centre for record in records if record.name in met}
-        is_plain = len(met) > len(starting) and self._data_centres <= places
-        return is_plain or all(self._had_time(name, now=now) for name in starting)
+        is_majority = len(met) > len(starting) and self._data_centres <= places
+        return is_majority or all(
+            self._had_time_to_report(name, now=now) for name in starting
+        )
 
-    def may_have_lost_power(self, services: Collection[str], *, now: float) -> bool:
-        """Tell whether all may have begun with this balancer, a moment ago."""
+    def may_follow_power_loss(self, services: Collection[str], *, now: float) -> bool:
+        """Return whether all targets may have just started, as this balancer has."""
         if now - self.started_at >= ALONE_SECONDS:
             return False
         names = self._names_of(services)
-        return not self.runs.any_began_before(names, started_at=self.started_at)
+        return not self.instances.any_started_before(
+            names, balancer_started_at=self.started_at
+        )
 
     def agents_of(self, services: Collection[str], *, now: float) -> "ServiceAgents":
-        """Return the agents whose word on the services' flows counts now."""
+        """Return the agents whose replies on the services' flows are needed."""
         names = self._names_of(services)
-        vacant = {name for name in names if self._is_vacant(name, now=now)}
+        vacant = {name for name in names if self._has_no_target(name, now=now)}
         return ServiceAgents(
             names=frozenset(names - vacant),
-            absent=frozenset(name for name in names - vacant if self._is_absent(name)),
+            absent=frozenset(
+                name for name in names - vacant if self._reports_no_target(name)
+            ),
             starting=frozenset(self._starting(names - vacant)),
         )
 
-    def _is_vacant(self, name: str, *, now: float) -> bool:
-        """Tell whether an agent has no target: it found none, and none has come."""
+    def _has_no_target(self, name: str, *, now: float) -> bool:
+        """Return whether an agent has found no target for so long that it has none."""
         record = self.membership.table.record(name)
         if record is not None and record.condition is not Condition.STARTING:
             return False
         known_for = self.membership.table.known_for(name, now=now)
         is_long_absent = record is not None and record.is_absent
         is_long_absent &= known_for >= ABSENT_SECONDS
-        return is_long_absent or self.runs.is_absent(name, now=now)
+        return is_long_absent or self.instances.is_absent(name, now=now)
 
-    def _is_absent(self, name: str) -> bool:
-        """Tell whether an agent has said that it finds no target."""
+    def _reports_no_target(self, name: str) -> bool:
+        """Return whether an agent reports that it finds no target."""
         record = self.membership.table.record(name)
         return record is not None and record.is_absent
 
     def _starting(self, names: Collection[str]) -> set[str]:
-        """Return the agents that have met no target since their start."""
+        """Return the agents that have reported no target since their start."""
         records = {name: self.membership.table.record(name) for name in names}
         return {
             name
             for name, record in records.items()
             if record is not None
             and record.condition is Condition.STARTING
-            and not self.runs.has_told(name)
+            and not self.instances.has_reported(name)
         }
 
-    def _had_time(self, name: str, *, now: float) -> bool:
-        """Tell whether an agent would have told of its target by now."""
+    def _had_time_to_report(self, name: str, *, now: float) -> bool:
+        """Return whether an agent would have reported its target by now."""
         record = self.membership.table.record(name)
         known_for = self.membership.table.known_for(name, now=now)
-        return known_for >= UNMET_SECONDS or (record is not None and record.is_absent)
+        return known_for >= TARGET_DISCOVERY_SECONDS or (
+            record is not None and record.is_absent
+        )
 
-    def may_hold(self, name: str) -> bool:
-        """Tell whether a target of that name is known and has not ended."""
+    def is_possible_owner(self, name: str) -> bool:
+        """Return whether a target is known and has not ended."""
         record = self.membership.table.record(name)
         return record is not None and record.condition is not Condition.GONE
 
-    def carry(
+    def forward(
         self,
         packet: Packet,
-        known: KnownFlow,
+        entry: FlowEntry,
         *,
         names: Iterable[str],
         asks: bool = False,
     ) -> list[ToAgent]:
-        """Return the frames that bring a packet to the targets of these names."""
-        tried = known.tried[-MAX_TRIED:] if packet.is_syn else ()
+        """Return the frames that forward a packet to these targets.
+
+        Args:
+            packet: The caller's packet.
+            entry: The flow's entry in the flow table.
+            names: Names of the targets.
+            asks: Whether the agents must answer if they don't own the flow.
+        """
+        tried = entry.tried[-MAX_TRIED:] if packet.is_syn else ()
         return [
             ToAgent(
                 endpoint=(record.ip, record.port),
                 frame=Carry(
-                    service=self._service_at(record, packet, known),
+                    service=self._service_at(record, packet, entry),
                     payload=packet.raw,
                     tried=tried,
                     asks=asks,
@@ -281,25 +301,25 @@
         ]
 
     def _service_at(
-        self, record: TargetRecord, packet: Packet, known: KnownFlow
+        self, record: TargetRecord, packet: Packet, entry: FlowEntry
     ) -> str:
-        """Return the service in whose name an agent is brought a packet.
+        """Return the service to name in a packet's frame, as its agent must serve it.
 
-        An agent of another service refuses it. A new flow goes to the service chosen
-        for it; an open one may be held by a target of any that its route names.
+        A new flow goes to the service chosen for it; a target of any service of the
+        route may own an open one.
         """
-        if packet.is_syn or record.service == known.service:
-            return known.service
-        # A keeper may name a holder of a service that this balancer never heard of.
-        is_named = not known.service or record.service in self.services_of(
-            packet, known
+        if packet.is_syn or record.service == entry.service:
+            return entry.service
+        # A directory balancer may name an owner of a service unknown here.
+        is_routed = not entry.service or record.service in self.services_of(
+            packet, entry
         )
-        return record.service if is_named else known.service
+        return record.service if is_routed else entry.service
 
-    def carry_syn(
+    def forward_syn(
         self,
         packet: Packet,
-        known: KnownFlow,
+        entry: FlowEntry,
         *,
         name: str,
         in_time_seconds: float,
@@ -307,22 +327,22 @@
         priority: int,
         is_offered: bool = False,
     ) -> list[ToAgent]:
-        """Return the frame that brings a SYN to a target, and says how it may wait."""
+        """Return the frame that forwards a SYN to a target, with its wait limits."""
         frame = Carry(
-            service=known.service,
+            service=entry.service,
             payload=packet.raw,
-            tried=known.tried[-MAX_TRIED:],
+            tried=entry.tried[-MAX_TRIED:],
             in_time_ms=to_milliseconds(in_time_seconds),
             wait_ms=to_milliseconds(wait_seconds),
             priority=min(priority, MAX_PRIORITY),
             is_offered=is_offered,
         )
-        return self.tell(frame, names=(name,), flow=packet.flow)
+        return self.to_agents(frame, names=(name,), flow=packet.flow)
 
     def reserve(
         self, waiting: WaitingFlow, *, service: str, names: Iterable[str], now: float
     ) -> list[ToAgent]:
-        """Return the frames that reserve a slot for a flow that waits."""
+        """Return the frames that reserve slots for a queued flow."""
         frame = Reserve(
             service=service,
             flow=waiting.flow,
@@ -330,17 +350,19 @@
             wait_ms=to_milliseconds(waiting.expires - now),
             priority=min(waiting.priority, MAX_PRIORITY),
         )
-        return self.tell(frame, names=names)
+        return self.to_agents(frame, names=names)
 
-    def tell(self, frame, *, names: Iterable[str], flow: bytes = b"") -> list[ToAgent]:
-        """Return a frame to the agents of these targets, as far as they're known."""
+    def to_agents(
+        self, frame, *, names: Iterable[str], flow: bytes = b""
+    ) -> list[ToAgent]:
+        """Return actions that send a frame to the agents of these targets, if known."""
         return [
             ToAgent(endpoint=(record.ip, record.port), frame=frame, flow=flow)
             for record in self._records(names)
         ]
 
-    def by_service(self, names: Iterable[str]) -> dict[str, list[str]]:
-        """Return the names of targets that are known, by their service."""
+    def group_by_service(self, names: Iterable[str]) -> dict[str, list[str]]:
+        """Return the names of known targets by their service."""
         names_by_service: dict[str, list[str]] = {}
         for record in self._records(names):
             names_by_service.setdefault(record.service, []).append(record.name)
@@ -350,8 +372,8 @@
         records = [self.membership.table.record(name) for name in names]
         return [record for record in records if record is not None]
 
-    def reset(self, packet: Packet, reason: str, *, now: float) -> ResetCaller:
-        """Return the reset of a packet's flow, and leave a line why."""
+    def reset_caller(self, packet: Packet, reason: str, *, now: float) -> ResetCaller:
+        """Return the reset of a packet's flow, and log its reason."""
         self.counts_by_result["reset"] += 1
         self.log.note(
             "caller reset",
--- a/monsoonpier/balancer/packets/shares.py
+++ b/monsoonpier/balancer/packets/shares.py
@@ -1,11 +1,10 @@
-"""Which services a route's flows go to, and which of them may hold one.
-
-The load that it answers: a new version of a service gets a tenth of an address's flows,
-then half, then all. Each balancer must choose alike, whichever copy of a SYN it gets
-and however often it was restarted, so a flow's address alone decides. A service without
-a target that serves gets nothing: its share goes to the others by their weights. One
-whose targets are merely full keeps its share, since operators limit with weights what
-a service is given.
+"""Weighted choice of a new flow's service, and the earlier services of routes.
+
+Weights allow gradual rollouts of a new version of a service. The choice is a hash of
+the flow's addresses and ports, so that all balancers choose alike for each
+retransmission of a SYN. The share of a service without a serving target goes to the
+others by their weights. A service whose targets are full keeps its share, since
+operators limit a service's load by its weight.
 """
 
 from collections.abc import Callable, Mapping
@@ -23,8 +22,8 @@
     """The service of a new flow.
 
     Attributes:
-        service: Where it goes; empty if the route gives no service a share.
-        passed_over: Whose share it is of, where no target serves.
+        service: The chosen service; empty if the route gives no service a share.
+        passed_over: Services skipped before it, which have no serving target.
     """
 
     service: str
@@ -38,8 +37,8 @@
 
     Args:
         flow: The flow's addresses and ports.
-        route: Where the address leads.
-        serves: Tells whether a service has a target that serves.
+        route: The route of the address.
+        serves: Returns whether a service has a serving target.
     """
     if not route.weights_by_service:
         return ServiceChoice(service=route.service)
@@ -51,11 +50,10 @@
 
 
 class EarlierServices:
-    """The services that an address's route named before. Does no I/O.
+    """The services that an address was routed to before. Does no I/O.
 
-    A flow stays where it was opened when a newer version leads its address elsewhere.
-    Without the earlier services it would be taken for dead as soon as its holder has to
-    be asked for.
+    A flow stays at its target when a newer configuration routes its address to
+    another service. An owner lookup must include the earlier services.
     """
 
     def __init__(self) -> None:
@@ -63,16 +61,16 @@
         self._services_by_address: dict[Address, frozenset[str]] = {}
 
     def configured(self, routes_by_address: Mapping[Address, PacketRoute]) -> None:
-        """Take a newer version; an address without a route is forgotten."""
+        """Apply the routes of a newer version; drop addresses without a route."""
         services_by_address = {}
         for address, route in routes_by_address.items():
             before = self._routes_by_address.get(address, route)
-            earlier = (before.services | self.of(address)) - route.services
+            earlier = (before.services | self.get(address)) - route.services
             if earlier:
                 services_by_address[address] = earlier
         self._routes_by_address = routes_by_address
         self._services_by_address = services_by_address
 
-    def of(self, address: Address) -> frozenset[str]:
-        """Return the services that an address was led to and isn't any more."""
+    def get(self, address: Address) -> frozenset[str]:
+        """Return the services that an address is no longer routed to."""
         return self._services_by_address.get(address, frozenset())
--- a/monsoonpier/balancer/packets/steering.py
+++ b/monsoonpier/balancer/packets/steering.py
@@ -1,12 +1,11 @@
-"""Steering of flows without a token: any packet to the target that holds its flow.
-
-A packet names its flow by addresses and ports only. The agent beside a target
-sees all of the target's packets, so it alone knows what the target holds, and
-it delivers nothing else. A balancer remembers holders as a bounded cache that
-may be lost at any time: what it doesn't remember it asks of the flow's keepers,
-then of all agents of the services that its route names. Only when every agent has
-denied a flow is its caller sent a reset; while one of them can't be reached the flow
-may live there, and a reset would break it.
+"""Steering of flows without a token: forwards packets to the target that owns the flow.
+
+A packet identifies its flow by addresses and ports only. The agent beside a target
+sees all of the target's packets, so only it knows which flows the target owns, and
+it delivers packets of no others. A balancer caches owners in a bounded table that
+may be lost at any time. For an unknown flow it asks the flow's directory balancers,
+then all agents of the services of its route. A caller is reset only when every agent
+has denied its flow: an agent that can't be reached may still own it.
 """
 
 import random
@@ -15,10 +14,10 @@
 
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.balancer.packets.caller_waits import ServiceWaits
-from monsoonpier.balancer.packets.flows import KnownFlow
-from monsoonpier.balancer.packets.inquiries import HolderInquiries
-from monsoonpier.balancer.packets.openings import FlowOpenings
-from monsoonpier.balancer.packets.scope import PacketScope
+from monsoonpier.balancer.packets.flows import FlowEntry
+from monsoonpier.balancer.packets.inquiries import OwnerResolver
+from monsoonpier.balancer.packets.openings import NewFlowHandler
+from monsoonpier.balancer.packets.scope import SteeringContext
 from monsoonpier.model.waiting_summary import WaitingSummary
 from monsoonpier.process.logs import DecisionLog
 from monsoonpier.process.readings import Reading
@@ -40,7 +39,7 @@
 
 
 class PacketSteering:
-    """Decides on callers' packets and agents' frames. Does no I/O."""
+    """Handles callers' packets and frames of agents and balancers. Does no I/O."""
 
     def __init__(
         self,
@@ -50,103 +49,105 @@
         data_centres: Collection[str] = (),
         reserves: bool = False,
     ) -> None:
-        self._scope = PacketScope(
+        self._context = SteeringContext(
             membership=membership,
             log=log,
             data_centres=data_centres,
         )
-        self._openings = FlowOpenings(scope=self._scope, reserves=reserves)
-        self._inquiries = HolderInquiries(scope=self._scope)
+        self._new_flows = NewFlowHandler(context=self._context, reserves=reserves)
+        self._resolver = OwnerResolver(context=self._context)
 
     @property
     def flows(self) -> int:
-        """How many flows are remembered."""
-        return len(self._scope.flows)
+        """How many flows are in the flow table."""
+        return len(self._context.flows)
 
     @property
     def counts_by_result(self) -> Counter[str]:
-        """Decisions so far."""
-        return self._scope.counts_by_result
+        """Decisions since the start, by result."""
+        return self._context.counts_by_result
 
     @property
     def opened_by_service(self) -> Counter[str]:
-        """New flows so far, by the service chosen for them."""
-        return self._scope.opened_by_service
+        """New flows since the start, by the service chosen for them."""
+        return self._context.opened_by_service
 
     @property
     def histograms(self) -> tuple[Reading, ...]:
-        """Times that decisions took or were based on."""
-        return (self._openings.wait_seconds, self._openings.load_age_seconds)
+        """Histograms of placement waits and of the age of load reports."""
+        return (self._new_flows.wait_seconds, self._new_flows.load_age_seconds)
 
     @property
     def is_waiting(self) -> bool:
-        """Whether `retry` has something to look after."""
-        return self._openings.is_waiting or self._inquiries.is_waiting
+        """Whether `retry` has pending work."""
+        return self._new_flows.is_waiting or self._resolver.is_waiting
 
     def configured(self) -> None:
-        """Take a newer configuration into account."""
-        self._scope.configured()
-        self._openings.configured()
-        self._scope.waits.configured(self._services)
+        """Apply a new configuration."""
+        self._context.configured()
+        self._new_flows.configured()
+        self._context.wait_statistics.configured(self._services)
 
     def waiting(self, *, now: float) -> tuple[WaitingSummary, ...]:
-        """Return how callers fare, by service and priority."""
+        """Return waiting, served and rejected flows by service and priority."""
         return self._summaries(self._services, now=now)
 
     @property
     def _services(self) -> set[str]:
-        """All services that the present configuration has a route to."""
-        routes = self._scope.membership.configuration.routes_by_address
+        """All services that the current configuration has a route to."""
+        routes = self._context.membership.configuration.routes_by_address
         return {name for route in routes.values() for name in route.services}
 
     def _summaries(
         self, services: Collection[str], *, now: float
     ) -> tuple[WaitingSummary, ...]:
-        """Return how callers fare; who waits and how long only of these services."""
-        flows_by_service = self._openings.waiting_by_service
+        """Return summaries of all classes; queued flows only of these services."""
+        flows_by_service = self._new_flows.waiting_by_service
         waits_by_service = {
             service: ServiceWaits(
                 flows=flows_by_service.get(service, ()),
-                candidates=self._scope.membership.table.candidates_of(service, now=now),
+                candidates=self._context.membership.table.candidates_of(
+                    service, now=now
+                ),
             )
             for service in services
         }
-        return self._scope.waits.summaries(
-            waits_by_service, asked_at=self._asked_at, now=now
+        return self._context.wait_statistics.summaries(
+            waits_by_service, first_attempt_at=self._first_attempt_at, now=now
         )
 
-    def _asked_at(self, flow: bytes) -> float | None:
-        known = self._scope.flows.get(flow)
-        return None if known is None else known.asked_at
+    def _first_attempt_at(self, flow: bytes) -> float | None:
+        entry = self._context.flows.get(flow)
+        return None if entry is None else entry.first_attempt_at
 
     def retry(self, *, now: float, draw: random.Random) -> list:
-        """Look after what waits; to be called soon again while `is_waiting`."""
-        if self._scope.waits.is_line_due(now=now):
-            self._note_waits(now=now)
-        return self._openings.retry(now=now, draw=draw) + self._inquiries.retry(now=now)
-
-    def _note_waits(self, *, now: float) -> None:
-        # To look at all targets of a large site would keep packets waiting.
-        flows_by_service = self._openings.waiting_by_service
+        """Do pending work; call it again soon while `is_waiting`."""
+        if self._context.wait_statistics.is_log_due(now=now):
+            self._log_waits(now=now)
+        return self._new_flows.retry(now=now, draw=draw) + self._resolver.retry(now=now)
+
+    def _log_waits(self, *, now: float) -> None:
+        # Only services with queued flows: going through all targets takes too long.
+        flows_by_service = self._new_flows.waiting_by_service
         services = [name for name, flows in flows_by_service.items() if flows]
         summaries = self._summaries(services, now=now)
-        for fields in self._scope.waits.lines(summaries):
-            self._scope.log.note("callers wait", now=now, **fields)
+        for fields in self._context.wait_statistics.log_fields(summaries):
+            self._context.log.note("callers wait", now=now, **fields)
 
     def from_caller(self, packet: Packet, *, now: float, draw: random.Random) -> list:
-        """Decide on a packet that a caller sent."""
-        known = self._scope.flows.touch(packet.flow)
+        """Handle a packet from a caller."""
+        entry = self._context.flows.touch(packet.flow)
         if packet.is_syn:
-            return self._openings.open(packet, known, now=now, draw=draw)
-        if known is None:
-            return self._inquiries.ask(packet, now=now)
-        known.has_fin |= packet.is_fin
-        self._openings.learn_habits(packet, known, now=now)
-        if known.inquiry is not None:
-            return self._inquiries.ask_again(packet, known, now=now)
-        if not any(self._scope.may_hold(name) for name in known.holders):
-            return self._holders_ended(packet, known, now=now)
-        return self._scope.carry(packet, known, names=known.holders)
+            return self._new_flows.open(packet, entry, now=now, draw=draw)
+        if entry is None:
+            return self._resolver.resolve(packet, now=now)
+        entry.has_fin |= packet.is_fin
+        self._new_flows.observe_flow(packet, entry, now=now)
+        if entry.lookup is not None:
+            return self._resolver.resume(packet, entry, now=now)
+        if not any(self._context.is_possible_owner(name) for name in entry.owners):
+            return self._on_owners_gone(packet, entry, now=now)
+        return self._context.forward(packet, entry, names=entry.owners)
 
     def from_process(
         self,
@@ -157,89 +158,91 @@
         now: float,
         draw: random.Random,
     ) -> list | None:
-        """Decide on an agent's or balancer's frame; ``None`` if it is another.
+        """Handle a frame of an agent or balancer; ``None`` if its type is unexpected.
 
         Args:
             frame: The frame.
-            packet: The packet that it brings back, if any.
-            sender: Where it came from.
-            now: The present time.
-            draw: Random draws.
+            packet: The caller's packet that the frame returns, if any.
+            sender: The sender's IP address and port.
+            now: The current time.
+            draw: Source of random numbers.
         """
         match frame:
             case Load(load=load):
-                table = self._scope.membership.table
+                table = self._context.membership.table
                 table.heard(table.name_at(sender), load, now=now)
-                return self._openings.place_waiting(now=now, draw=draw)
+                return self._new_flows.place_waiting(now=now, draw=draw)
             case Held():
-                return self._held(frame, now=now)
+                return self._on_held(frame, now=now)
             case NotHeld():
-                return self._inquiries.denied(frame, packet, now=now)
+                return self._resolver.on_denial(frame, packet, now=now)
             case Holds():
-                return self._inquiries.answered(frame, now=now)
+                return self._resolver.on_agent_reply(frame, now=now)
             case Offer():
-                return self._openings.offered(frame, now=now)
+                return self._new_flows.on_offer(frame, now=now)
             case Queued():
-                return self._openings.queued(frame, now=now)
+                return self._new_flows.on_queued(frame, now=now)
             case Turned() if packet is not None:
-                return self._openings.turned(frame, packet, now=now, draw=draw)
+                return self._new_flows.on_rejected(frame, packet, now=now, draw=draw)
             case FirstAsked():
-                return self._openings.first_asked(frame, now=now)
+                return self._new_flows.on_first_attempt_reply(frame, now=now)
             case Refused():
-                self._scope.first_asked.told(frame, now=now)
+                self._context.first_attempts.store_rejection(frame, now=now)
                 return []
             case WhenAsked():
-                return self._scope.first_asked.answer(frame, sender=sender, now=now)
-        return self._inquiries.from_balancer(frame, sender=sender, now=now)
+                return self._context.first_attempts.answer(
+                    frame, sender=sender, now=now
+                )
+        return self._resolver.on_directory_frame(frame, sender=sender, now=now)
 
-    def _held(self, frame: Held, *, now: float) -> list:
-        table = self._scope.membership.table
+    def _on_held(self, frame: Held, *, now: float) -> list:
+        table = self._context.membership.table
         table.heard(frame.agent, frame.load, now=now)
         record = table.record(frame.agent)
         if record is None:
             return []
-        known = self._scope.flows.get(frame.flow)
-        if known is None:
-            known = KnownFlow(service=record.service, created_at=now)
-            self._scope.flows.put(frame.flow, known)
-        self._note_served(known, data_centre=record.data_centre, now=now)
+        entry = self._context.flows.get(frame.flow)
+        if entry is None:
+            entry = FlowEntry(service=record.service, created_at=now)
+            self._context.flows.put(frame.flow, entry)
+        self._note_served(entry, data_centre=record.data_centre, now=now)
         if frame.is_open:
-            return self._opened(frame, known, now=now)
-        self._openings.accepted(frame, now=now)
+            return self._on_open(frame, entry, now=now)
+        self._new_flows.on_accepted(frame, now=now)
         return []
 
-    def _note_served(self, known: KnownFlow, *, data_centre: str, now: float) -> None:
-        """Count a flow that a target takes; each counts once."""
-        if known.is_accepted or known.is_confirmed or known.syn is None:
+    def _note_served(self, entry: FlowEntry, *, data_centre: str, now: float) -> None:
+        """Count a flow that a target has accepted; each counts once."""
+        if entry.is_accepted or entry.is_confirmed or entry.syn is None:
             return
-        route = self._scope.route(known.syn)
+        route = self._context.route(entry.syn)
         if route is not None:
-            self._scope.waits.served(
-                known.service,
+            self._context.wait_statistics.count_served(
+                entry.service,
                 route,
-                asked_at=known.asked_at,
+                first_attempt_at=entry.first_attempt_at,
                 data_centre=data_centre,
                 now=now,
             )
 
-    def _opened(self, frame: Held, known: KnownFlow, *, now: float) -> list:
-        if known.holders != (frame.agent,):
-            self._scope.log.note(
-                "holder learned",
+    def _on_open(self, frame: Held, entry: FlowEntry, *, now: float) -> list:
+        if entry.owners != (frame.agent,):
+            self._context.log.note(
+                "owner learned",
                 now=now,
                 flow=frame.flow,
                 target=frame.agent,
-                before=known.holders,
+                before=entry.owners,
             )
-        known.holders = (frame.agent,)
-        known.is_confirmed = True
-        known.syn = None
-        self._inquiries.opened(frame.flow, frame.agent, now=now)
-        return self._inquiries.settle(known)
-
-    def _holders_ended(self, packet: Packet, known: KnownFlow, *, now: float) -> list:
-        """Reset a flow whose holder has ended; ask if it was only thought to be."""
-        self._scope.flows.drop(packet.flow)
-        if not known.is_confirmed:
-            return self._inquiries.ask(packet, now=now)
-        return [self._scope.reset(packet, "target gone", now=now)]
+        entry.owners = (frame.agent,)
+        entry.is_confirmed = True
+        entry.syn = None
+        self._resolver.note_owner(frame.flow, frame.agent, now=now)
+        return self._resolver.finish_lookup(entry)
+
+    def _on_owners_gone(self, packet: Packet, entry: FlowEntry, *, now: float) -> list:
+        """Reset a flow whose owner has ended; look it up if no agent confirmed it."""
+        self._context.flows.drop(packet.flow)
+        if not entry.is_confirmed:
+            return self._resolver.resolve(packet, now=now)
+        return [self._context.reset_caller(packet, "target gone", now=now)]
--- a/monsoonpier/balancer/packets/wait_readings.py
+++ b/monsoonpier/balancer/packets/wait_readings.py
@@ -1,7 +1,7 @@
-"""How callers fare at one balancer, as its metrics address shows it.
+"""Metrics of waiting, served and rejected flows at one balancer.
 
-Labels are a service and a priority, as the configuration has them, and where there
-is one more, a reason or a data centre, of which `CallerWaits` keeps few.
+Labels are service, priority and data centre, and for some metrics one more, whose
+number of values `WaitStatistics` bounds.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -9,19 +9,19 @@
 from monsoonpier.model.waiting_summary import WaitingSummary
 from monsoonpier.process.readings import Reading, Series
 
-__all__ = ["wait_readings"]
+__all__ = ["wait_metrics"]
 
 CLASS_LABELS = ("service", "priority", "data_centre")
 
 
-def wait_readings(
+def wait_metrics(
     summaries: Iterable[WaitingSummary], *, data_centre: str
 ) -> tuple[Reading, ...]:
-    """Return the readings.
+    """Return the metrics.
 
     Args:
-        summaries: How each class fares.
-        data_centre: This balancer's, which is its callers' too.
+        summaries: Summary of each class.
+        data_centre: The data centre of this balancer and its callers.
     """
     shown = tuple(summaries)
 
@@ -55,26 +55,26 @@
         ),
         series(
             "waiting_seconds",
-            "Of the flow that waits longest, and expected for one more.",
+            "Longest wait of a queued flow, and expected wait of a new one.",
             _waits,
             label="of",
             is_counter=False,
         ),
         series(
             "refused_flows",
-            "New flows whose callers were told to go.",
+            "Rejected new flows, by reason.",
             lambda summary: summary.refused_by_reason,
             label="reason",
         ),
         series(
             "served_flows",
-            "New flows that a target took, by where it is.",
+            "New flows accepted by a target, by the target's data centre.",
             lambda summary: summary.served_by_data_centre,
             label="target_data_centre",
         ),
         series(
             "caller_flows",
-            "New flows, and those that a target took after their aim.",
+            "New flows, and those accepted after their latency target.",
             lambda summary: {
                 "asked": summary.asked,
                 "served_late": summary.served_late,
@@ -83,7 +83,7 @@
         ),
         Series(
             name="served_wait_seconds",
-            help="What served flows waited, together.",
+            help="Total wait of served flows.",
             labels=CLASS_LABELS,
             values_by_labels={
                 (s.service, str(s.priority), data_centre): s.wait_seconds for s in shown
--- a/tests/packets/test_caller_waits.py
+++ b/tests/packets/test_caller_waits.py
@@ -4,12 +4,12 @@
 from unittest import mock
 
 from monsoonpier.balancer.packets.caller_waits import (
-    LINE_SECONDS,
-    MAX_LINES,
+    LOG_INTERVAL_SECONDS,
+    MAX_LOG_LINES,
     MAX_REASONS,
-    CallerWaits,
+    WaitStatistics,
 )
-from monsoonpier.balancer.packets.wait_readings import wait_readings
+from monsoonpier.balancer.packets.wait_readings import wait_metrics
 from monsoonpier.model.address import Address
 from monsoonpier.model.service import Configuration, PacketRoute
 from monsoonpier.model.waiting_summary import WaitingSummary
@@ -94,8 +94,8 @@
 
     def test_lines(self) -> None:
         """One line in five seconds tells what waits and what has come since."""
-        with mock.patch.object(self.rig.steering._scope.log, "note") as note:
-            for seconds in (0.0, LINE_SECONDS - 0.1, LINE_SECONDS):
+        with mock.patch.object(self.rig.steering._context.log, "note") as note:
+            for seconds in (0.0, LOG_INTERVAL_SECONDS - 0.1, LOG_INTERVAL_SECONDS):
                 self.rig.steering.retry(now=SETTLED + seconds, draw=self.rig.draw)
         (line,) = [c for c in note.call_args_list if c.args == ("callers wait",)]
         self.assertEqual(line.kwargs["refused"], {"no slot came free": 3})
@@ -107,12 +107,12 @@
 
     def test_metrics(self) -> None:
         """Each reading has its labels; reasons beyond the usual are one."""
-        waits = CallerWaits()
+        waits = WaitStatistics()
         for number in range(3 * MAX_REASONS):
-            waits.refused("maps-0", route(), f"reason {number}", now=1.0)
-        waits.asked("maps-0", route(priority=2))
-        summaries = waits.summaries({}, asked_at=lambda flow: None, now=1.0)
-        readings = wait_readings(summaries, data_centre="dc-1")
+            waits.count_rejected("maps-0", route(), f"reason {number}", now=1.0)
+        waits.count_requested("maps-0", route(priority=2))
+        summaries = waits.summaries({}, first_attempt_at=lambda flow: None, now=1.0)
+        readings = wait_metrics(summaries, data_centre="dc-1")
         lines = expose(lambda: readings).decode().splitlines()
         refused = [line for line in lines if line.startswith("monsoonpier_refused")]
         self.assertEqual(len(refused), MAX_REASONS + 1)
@@ -123,12 +123,12 @@
 
     def test_lines(self) -> None:
         """A line each for those that are worst off, whatever the services are."""
-        waits = CallerWaits()
-        for number in range(3 * MAX_LINES):
-            waits.refused(f"maps-{number}", route(), "would be late", now=1.0)
-        summaries = waits.summaries({}, asked_at=lambda flow: None, now=1.0)
-        self.assertEqual(len(waits.lines(summaries)), MAX_LINES)
-        self.assertEqual(waits.lines(summaries), [])
+        waits = WaitStatistics()
+        for number in range(3 * MAX_LOG_LINES):
+            waits.count_rejected(f"maps-{number}", route(), "would be late", now=1.0)
+        summaries = waits.summaries({}, first_attempt_at=lambda flow: None, now=1.0)
+        self.assertEqual(len(waits.log_fields(summaries)), MAX_LOG_LINES)
+        self.assertEqual(waits.log_fields(summaries), [])
 
     def test_classes(self) -> None:
         """Priorities of a service are classes of their own."""
--- a/tests/packets/test_directory.py
+++ b/tests/packets/test_directory.py
@@ -3,7 +3,7 @@
 import unittest
 
 from monsoonpier.balancer.actions import ToAgent
-from monsoonpier.balancer.packets.directory import MAX_HOLDERS, HolderDirectory
+from monsoonpier.balancer.packets.directory import MAX_OWNERS, OwnerDirectory
 from monsoonpier.model.target import Condition
 from monsoonpier.wire.frames import BalancerRecord, Carry, Find, Held, NotHeld, Register
 from tests.packets.rig import SETTLED, SteeringRig, load, packet, record as target
@@ -145,9 +145,9 @@
     def test_bounded(self) -> None:
         """A keeper forgets the flows that it heard of longest ago."""
         rig = self.group.rigs[self.first]
-        directory = HolderDirectory(membership=rig.membership)
-        for number in range(MAX_HOLDERS + 10):
+        directory = OwnerDirectory(membership=rig.membership)
+        for number in range(MAX_OWNERS + 10):
             entry = (number.to_bytes(12, "big"), "maps-1")
-            directory.registered(Register(entries=(entry,)))
-        self.assertEqual(len(directory), MAX_HOLDERS)
-        self.assertIsNone(directory.holder((0).to_bytes(12, "big")))
+            directory.store(Register(entries=(entry,)))
+        self.assertEqual(len(directory), MAX_OWNERS)
+        self.assertIsNone(directory.get((0).to_bytes(12, "big")))
--- a/tests/packets/test_first_asked.py
+++ b/tests/packets/test_first_asked.py
@@ -3,10 +3,10 @@
 import unittest
 from unittest import mock
 
-from monsoonpier.balancer.packets.first_asked import FirstAskedTimes
+from monsoonpier.balancer.packets.first_asked import FirstAttempts
 from monsoonpier.balancer.packets.returning import (
-    MAX_REFUSALS,
-    EarlierTry,
+    MAX_REJECTIONS,
+    EarlierAttempt,
     ReturningCallers,
 )
 from monsoonpier.wire.frames import Carry, FirstAsked, Refused, Turned, WhenAsked
@@ -23,8 +23,8 @@
     return replace(packet(number, syn=True), caller_ip=f"100.64.0.{caller}")
 
 
-def times(rig) -> FirstAskedTimes:
-    return FirstAskedTimes(membership=rig.membership, returning=ReturningCallers())
+def times(rig) -> FirstAttempts:
+    return FirstAttempts(membership=rig.membership, returning=ReturningCallers())
 
 
 class SharedTests(unittest.TestCase):
@@ -33,8 +33,8 @@
     def setUp(self) -> None:
         self.group = _Group(4)
         rigs = self.group.rigs
-        (self.keeper,) = (e for e, rig in rigs.items() if not times(rig).ask(syn(1)))
-        self.first, self.next, _ = (e for e in rigs if e != self.keeper)
+        (self.home,) = (e for e, rig in rigs.items() if not times(rig).query(syn(1)))
+        self.first, self.next, _ = (e for e in rigs if e != self.home)
         self.rig = rigs[self.first]
 
     def take(self, endpoint, number: int, *, caller: int = 7, now: float) -> None:
@@ -67,7 +67,7 @@
 
     def test_keeper_is_away(self) -> None:
         """Words that get lost change nothing: the caller counts as a new one."""
-        self.group.cut_off = {self.keeper}
+        self.group.cut_off = {self.home}
         self.assertEqual(self.placed_first(), syn(2).raw)
 
     def test_asked_once_a_flow_that_waits(self) -> None:
@@ -99,17 +99,17 @@
     """What a keeper does with words that come in any order."""
 
     def answers(self, *refusals: tuple[int, int], questions: int = 3) -> list[int]:
-        keeper = times(next(iter(_Group(1).rigs.values())))
+        home = times(next(iter(_Group(1).rigs.values())))
         caller = {"caller": "100.64.0.7", "service": (SERVICE.ip, SERVICE.port)}
         for asked_ms, back_ms in refusals:
             frame = Refused(asked_ms=asked_ms, back_ms=back_ms, **caller)
-            keeper.told(frame, now=5.0)
+            home.store_rejection(frame, now=5.0)
         question = WhenAsked(flow=syn(2).flow, **caller)
         sender = ("10.1.0.2", 7720)
         return [
             answer.frame.asked_ms
             for _ in range(questions)
-            for answer in keeper.answer(question, sender=sender, now=5.1)
+            for answer in home.answer(question, sender=sender, now=5.1)
         ]
 
     def test_each_refusal_counts_once(self) -> None:
@@ -120,7 +120,7 @@
         """What can't belong to a new request any more isn't taken for its own."""
         callers = ReturningCallers()
         for asked_at, back_at in ((1.0, 3.4), (0.5, 2.0)):
-            earlier = EarlierTry(asked_at=asked_at)
+            earlier = EarlierAttempt(asked_at=asked_at)
             callers.keep("100.64.0.7", SERVICE, earlier, back_at=back_at)
         found = callers.take("100.64.0.7", SERVICE, came_at=3.1, now=3.1)
         self.assertIsNone(found)
@@ -131,9 +131,9 @@
 
     def test_bounded(self) -> None:
         """An address with many refusals fills no memory."""
-        most = MAX_REFUSALS + 5
+        most = MAX_REJECTIONS + 5
         found = self.answers(*[(1_000, 0)] * most, questions=most)
-        self.assertEqual(len(found), MAX_REFUSALS)
+        self.assertEqual(len(found), MAX_REJECTIONS)
 
 
 class BurstTests(unittest.TestCase):
@@ -156,7 +156,7 @@
     def test_slots_go_to_callers_that_are_there(self) -> None:
         """Fewer SYNs reach targets in vain, and more answers are in time."""
         shared = Simulation(self.WORLD).run()
-        with mock.patch.object(FirstAskedTimes, "_keeper_of", return_value=None):
+        with mock.patch.object(FirstAttempts, "_directory_balancer", return_value=None):
             alone = Simulation(self.WORLD).run()
         self.assertLess(shared.left_share, alone.left_share / 3)
         self.assertGreater(shared.in_time, alone.in_time + 0.05)
--- a/tests/packets/test_placement.py
+++ b/tests/packets/test_placement.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from monsoonpier.balancer.packets.flows import FlowHabits, KnownFlow
+from monsoonpier.balancer.packets.flows import FlowEntry, FlowStatistics
 from monsoonpier.balancer.packets.placement import PlacementQuery, place
 from monsoonpier.balancer.steering import Candidate, Chosen
 from monsoonpier.model.target import Condition, LoadReport
@@ -90,33 +90,37 @@
 class HabitTests(unittest.TestCase):
     """What the flows of one address carry."""
 
-    def learn(self, habits: FlowHabits, *, sizes: list[int], answer: int) -> None:
-        known = KnownFlow(service="logs", created_at=0.0)
+    def observe(
+        self, statistics: FlowStatistics, *, sizes: list[int], answer: int
+    ) -> None:
+        entry = FlowEntry(service="logs", created_at=0.0)
         for number, size in enumerate(sizes):
-            habits.learn(packet(size=size), known, now=number / 100)
+            statistics.observe(packet(size=size), entry, now=number / 100)
         last = packet(fin=True, acknowledged=packet().acknowledged + answer)
-        habits.learn(last, known, now=0.5)
+        statistics.observe(last, entry, now=0.5)
 
     def test_uploads_and_downloads(self) -> None:
         """Both ways count: what was sent, and what was acknowledged."""
         for sizes, answer in (([1_200] * 33, 300), ([100], 40_000)):
-            habits = FlowHabits()
+            statistics = FlowStatistics()
             for _ in range(60):
-                self.learn(habits, sizes=sizes, answer=answer)
-            self.assertAlmostEqual(habits.short_bytes, sum(sizes) + answer, delta=200)
-            self.assertLess(habits.long_share, 0.01)
+                self.observe(statistics, sizes=sizes, answer=answer)
+            self.assertAlmostEqual(
+                statistics.short_bytes, sum(sizes) + answer, delta=200
+            )
+            self.assertLess(statistics.long_share, 0.01)
 
     def test_first_flow_counts_in_full(self) -> None:
         """Each balancer of a large fleet sees few flows of an address."""
-        habits = FlowHabits()
-        self.learn(habits, sizes=[1_200] * 33, answer=300)
-        self.assertGreater(habits.short_bytes, 39_000)
+        statistics = FlowStatistics()
+        self.observe(statistics, sizes=[1_200] * 33, answer=300)
+        self.assertGreater(statistics.short_bytes, 39_000)
 
     def test_late_acknowledgement(self) -> None:
         """One that is older than the first is no answer of four gigabytes."""
-        habits = FlowHabits()
-        self.learn(habits, sizes=[100], answer=-50)
-        self.assertLess(habits.short_bytes, 1_000)
+        statistics = FlowStatistics()
+        self.observe(statistics, sizes=[100], answer=-50)
+        self.assertLess(statistics.short_bytes, 1_000)
 
 
 class SpreadTests(unittest.TestCase):
--- a/tests/packets/test_presence.py
+++ b/tests/packets/test_presence.py
@@ -15,25 +15,33 @@
 
     def setUp(self) -> None:
         self.presence = CallerPresence()
-        self.presence.waits(FLOW, began_at=0.0, heard=0.0, now=0.0)
+        self.presence.track(FLOW, first_syn_at=0.0, latest_syn_offset=0.0, now=0.0)
 
     def test_copy_came(self) -> None:
         """A caller that sends its copies is there."""
-        self.presence.heard(FLOW, waited=0.2)
-        self.assertEqual(self.presence.turned_doubtful(now=FIRST), [])
+        self.presence.note_retransmission(FLOW, waited=0.2)
+        self.assertEqual(self.presence.pop_abandoned(now=FIRST), [])
 
     def test_copy_lost(self) -> None:
         """One lost copy makes it doubtful until the next one comes."""
-        self.assertEqual(self.presence.turned_doubtful(now=FIRST), [FLOW])
-        self.assertTrue(self.presence.heard(FLOW, waited=0.6))
-        self.assertFalse(self.presence.doubts(FLOW))
-        self.assertEqual(self.presence.turned_doubtful(now=SECOND), [])
+        self.assertEqual(self.presence.pop_abandoned(now=FIRST), [FLOW])
+        self.assertTrue(self.presence.note_retransmission(FLOW, waited=0.6))
+        self.assertFalse(self.presence.is_presumed_abandoned(FLOW))
+        self.assertEqual(self.presence.pop_abandoned(now=SECOND), [])
 
     def test_waits_again(self) -> None:
         """What came while a target was asked counts."""
-        self.presence.gone(FLOW)
-        self.assertFalse(self.presence.waits(FLOW, began_at=0.0, heard=0.2, now=FIRST))
-        self.assertTrue(self.presence.waits(FLOW, began_at=0.0, heard=0.2, now=SECOND))
+        self.presence.forget(FLOW)
+        self.assertFalse(
+            self.presence.track(
+                FLOW, first_syn_at=0.0, latest_syn_offset=0.2, now=FIRST
+            )
+        )
+        self.assertTrue(
+            self.presence.track(
+                FLOW, first_syn_at=0.0, latest_syn_offset=0.2, now=SECOND
+            )
+        )
 
     def test_doubtful_ones_go_last(self) -> None:
         """After those that are late, and still when nobody else waits."""
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -42,7 +42,7 @@
         """Callers whose flows died don't wait for balancers to be sure of more."""
         many = replace(WORLD, long_flows=60)
         soon = self.in_time(many, BACK, BACK + 0.6)
-        with mock.patch.object(scope, "RESTARTED_SECONDS", 4.0):
+        with mock.patch.object(scope, "PEER_DISCOVERY_SECONDS", 4.0):
             late = self.in_time(many, BACK, BACK + 0.6)
         self.assertGreater(soon, 1.2 * late)
 
--- a/tests/packets/test_shares.py
+++ b/tests/packets/test_shares.py
@@ -101,7 +101,7 @@
         """Return which services 40 new flows are for, placed or waiting."""
         for number in range(40):
             rig.caller(packet(number, syn=True), now=now)
-        flows = rig.steering._scope.flows
+        flows = rig.steering._context.flows
         return [flows.get(packet(number).flow).service for number in range(40)]
 
     def test_every_balancer_chooses_alike(self) -> None:
@@ -164,7 +164,7 @@
         """Each agent is brought a packet to try in its own service's name."""
         rig = self.rig()
         rig.caller(packet(size=9))
-        questions = rig.steering._inquiries._questions._flows_by_question
+        questions = rig.steering._resolver._queries._flows_by_query
         actions: list = []
         for number, name in itertools.product(
             questions, ("maps-1", "maps-2", "logs-3", "logs-4")
--- a/tests/packets/test_steering.py
+++ b/tests/packets/test_steering.py
@@ -405,9 +405,9 @@
                 sent = packet(number)
                 self.rig.agent(denied(name, sent), sent, now=0.75)
         self.rig.steering.retry(now=0.8, draw=self.rig.draw)
-        scope = self.rig.steering._scope
+        context = self.rig.steering._context
         with mock.patch.object(
-            scope, "knows_holders_of", wraps=scope.knows_holders_of
+            context, "knows_all_owners_of", wraps=context.knows_all_owners_of
         ) as asked:
             self.rig.steering.retry(now=1.0, draw=self.rig.draw)
         self.assertLessEqual(asked.call_count, 2)
@@ -557,7 +557,7 @@
         rig.learn(record("maps-2", host=2, change=1, condition=condition), now=160.1)
         rig.caller(packet(2), now=then)
         sure = Holds(question=0, agent="maps-1", held=(), is_sure=True)
-        number = rig.steering._inquiries._questions._last_question
+        number = rig.steering._resolver._queries._last_query
         return resets(rig.agent(replace(sure, question=number), now=then + 0.01))
 
     def test_vacant_agent_that_has_ended(self) -> None:
