--- a/monsoonpier/balancer/packets/caller_waits.py
+++ b/monsoonpier/balancer/packets/caller_waits.py
@@ -38,12 +38,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class _RecentCounts:
+    """Counts that decay exponentially with time."""
+
     served: float = 0.0
     refused: float = 0.0
     wait_seconds: float = 0.0
     updated_at: float = 0.0
 
     def decay(self, *, now: float) -> None:
+        """Decay the counts to the current time."""
         left = math.exp(-max(0.0, now - self.updated_at) / DECAY_SECONDS)
         self.served *= left
         self.refused *= left
@@ -53,6 +56,8 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Counts:
+    """Counts of one class since the start."""
+
     aim_seconds: float
     asked: int = 0
     served_late: int = 0
@@ -189,6 +194,7 @@
         return found[:MAX_LOG_LINES]
 
     def _counts(self, service: str, route: PacketRoute) -> _Counts:
+        """Return the counts of a class, created at first use."""
         key = (service, route.priority)
         counts = self._counts_by_class.get(key)
         if counts is None:
--- a/monsoonpier/balancer/packets/directory.py
+++ b/monsoonpier/balancer/packets/directory.py
@@ -90,11 +90,12 @@
             if name != own
         ]
 
-    def answer(self, frame: Find) -> Found:
+    def reply(self, frame: Find) -> Found:
         """Return the reply to a query, with an empty owner if none is stored."""
         return Found(flow=frame.flow, holder=self._owners_by_flow.get(frame.flow, ""))
 
     def _store(self, flow: bytes, owner: str) -> None:
+        """Store an entry; evict the oldest one if the directory is full."""
         self._owners_by_flow[flow] = owner
         self._owners_by_flow.move_to_end(flow)
         if len(self._owners_by_flow) > MAX_OWNERS:
@@ -104,4 +105,5 @@
 def _directory_balancers(
     flow: bytes, records_by_name: dict[str, BalancerRecord]
 ) -> list[str]:
+    """Return the names of the balancers that store a flow's owner."""
     return list(top(flow.hex(), records_by_name, count=DIRECTORY_BALANCERS))
--- a/monsoonpier/balancer/packets/first_asked.py
+++ b/monsoonpier/balancer/packets/first_asked.py
@@ -48,7 +48,7 @@
             return []
         balancer = self._directory_balancer(packet)
         if balancer is None:
-            self._returning.keep(
+            self._returning.record(
                 packet.caller_ip, packet.service_address, earlier, back_at=back_at
             )
             return []
@@ -79,29 +79,29 @@
 
     def store_rejection(self, frame: Refused, *, now: float) -> None:
         """Store another balancer's report of a rejected caller."""
-        self._returning.keep(
+        self._returning.record(
             frame.caller,
             _address(frame.service),
             EarlierAttempt(asked_at=now - frame.asked_ms / 1000, attempts=frame.tries),
             back_at=now + frame.back_ms / 1000,
         )
 
-    def answer(
+    def reply(
         self, frame: WhenAsked, *, sender: tuple[str, int], now: float
     ) -> list[ToAgent]:
         """Return the reply to a query; none if the caller has no record here."""
         came_at = now - frame.waited_ms / 1000
-        earlier = self._returning.take(
+        earlier = self._returning.claim(
             frame.caller, _address(frame.service), came_at=came_at, now=now
         )
         if earlier is None:
             return []
-        answer = FirstAsked(
+        reply = FirstAsked(
             flow=frame.flow,
             asked_ms=to_milliseconds(now - earlier.asked_at),
             tries=earlier.attempts,
         )
-        return [ToAgent(endpoint=sender, frame=answer)]
+        return [ToAgent(endpoint=sender, frame=reply)]
 
     def _directory_balancer(self, packet: Packet) -> BalancerRecord | None:
         """Return a caller's directory balancer; ``None`` if it is this one."""
@@ -113,9 +113,11 @@
 
 
 def _endpoint(address: Address) -> tuple[str, int]:
+    """Return an address as an IP address and port."""
     return (address.ip, address.port)
 
 
 def _address(endpoint: tuple[str, int]) -> Address:
+    """Return the address of an IP address and port."""
     ip, port = endpoint
     return Address(ip=ip, port=port)
--- a/monsoonpier/balancer/packets/inquiries.py
+++ b/monsoonpier/balancer/packets/inquiries.py
@@ -126,6 +126,7 @@
         return self._context.services_of(entry.lookup.packets[-1], entry)
 
     def _agents_of(self, entry: FlowEntry, *, now: float) -> ServiceAgents:
+        """Return the agents that may own a flow."""
         return self._context.agents_of(self._services_of(entry), now=now)
 
     def _agents_among(
@@ -166,13 +167,14 @@
                 self._directory.store(frame)
                 return []
             case Find():
-                answer = self._directory.answer(frame)
-                return [ToAgent(endpoint=sender, frame=answer)]
+                reply = self._directory.reply(frame)
+                return [ToAgent(endpoint=sender, frame=reply)]
             case Found():
                 return self._on_directory_reply(frame, now=now)
         return None
 
     def _on_directory_reply(self, frame: Found, *, now: float) -> list:
+        """Forward to the reported owner, or query the agents if none is known."""
         entry = self._context.flows.get(frame.flow)
         if entry is None or entry.lookup is None:
             return []
@@ -265,6 +267,7 @@
         return []
 
     def _probe_inconclusive(self, entry: FlowEntry, *, now: float) -> list:
+        """Probe the targets of agents whose replies were inconclusive."""
         lookup = entry.lookup
         assert lookup is not None
         inconclusive, lookup.inconclusive = lookup.inconclusive - lookup.denied, set()
@@ -283,6 +286,7 @@
         *,
         now: float,
     ) -> list:
+        """Record an agent's denial, and act on the replies so far."""
         self._context.log.note("flow denied", now=now, flow=flow, target=agent)
         lookup = entry.lookup
         assert lookup is not None
@@ -324,12 +328,14 @@
         return self._reset_unowned(entry, lookup, now=now)
 
     def _defer_reset(self, flow: bytes) -> None:
+        """Keep a denied flow for the next check of early denials."""
         if len(self._early_denials) < MAX_EARLY_DENIALS:
             self._early_denials.append(flow)
 
     def _reset_unowned(
         self, entry: FlowEntry, lookup: OwnerLookup, *, now: float
     ) -> list:
+        """Reset a flow that no target owns."""
         packet = lookup.packets[-1]
         self._context.flows.drop(packet.flow)
         reason = "nobody holds the flow"
@@ -355,6 +361,7 @@
         return actions
 
     def _register(self, *, now: float) -> list:
+        """Register the flows that are due and still open in the directory."""
         lasting = []
         for flow, owner in self._directory.pop_due(now=now):
             entry = self._context.flows.get(flow)
--- a/monsoonpier/balancer/packets/openings.py
+++ b/monsoonpier/balancer/packets/openings.py
@@ -48,7 +48,7 @@
 
 
 class NewFlowHandler:
-    """Handles SYNs and the answers of targets to them. Does no I/O.
+    """Handles SYNs and the responses of targets to them. Does no I/O.
 
     Args:
         context: State shared by the decisions of this balancer.
@@ -81,7 +81,7 @@
         return self._backlog.flows_by_service
 
     def configured(self) -> None:
-        """Drop the profiles of addresses that no longer have a route."""
+        """Drop the statistics of addresses that no longer have a route."""
         routes = self._context.membership.configuration.routes_by_address
         for address in self._statistics_by_address.keys() - routes.keys():
             del self._statistics_by_address[address]
@@ -220,6 +220,7 @@
     def _place(
         self, packet: Packet, entry: FlowEntry, *, now: float, draw: random.Random
     ) -> list:
+        """Send a SYN to the best target, or queue it if none has room."""
         table = self._context.membership.table
         candidates = reliable(table.candidates_of(entry.service, now=now))
         if len(entry.tried) >= MAX_PLACEMENTS:
@@ -254,6 +255,7 @@
         is_offered: bool = False,
         now: float,
     ) -> list:
+        """Record the placement of a SYN on a target, and forward it."""
         self._note_placed(packet, entry, candidates, name, now=now)
         entry.owners = (*entry.owners, name)[-MAX_TRIED:]
         entry.tried = (*entry.tried, name)
@@ -277,6 +279,7 @@
         is_offered: bool,
         now: float,
     ) -> list:
+        """Return the frame that forwards a SYN, with its time limits."""
         return self._context.forward_syn(
             packet,
             entry,
@@ -311,6 +314,7 @@
     def _reject(
         self, packet: Packet, entry: FlowEntry, reason: str, *, now: float
     ) -> list:
+        """Reset a flow, unless its SYN is a retransmission, and note the rejection."""
         self._context.flows.drop(packet.flow)
         self._context.counts_by_result["refused"] += 1
         self._count_rejected(packet, entry, reason, now=now)
@@ -354,6 +358,7 @@
     def _place_waiting_for(
         self, service: str, *, now: float, draw: random.Random
     ) -> list:
+        """Place the queued flows of one service while targets have room."""
         actions: list = []
         for _ in range(self._backlog.waiting(service)):
             candidates = self._context.membership.table.candidates_of(service, now=now)
@@ -372,6 +377,7 @@
         return actions
 
     def _retry_unanswered(self, *, now: float, draw: random.Random) -> list:
+        """Send SYNs that targets have not answered in time to other targets."""
         actions: list = []
         while self._unanswered and self._unanswered[0][0] <= now:
             _, flow = self._unanswered.popleft()
@@ -388,7 +394,7 @@
             entry.is_queued = False
             self._context.counts_by_result["unanswered"] += 1
             self._context.log.note(
-                "target did not answer",
+                "target did not respond",
                 now=now,
                 flow=flow,
                 target=entry.owners[-1],
@@ -402,12 +408,13 @@
         return actions
 
     def observe_flow(self, packet: Packet, entry: FlowEntry, *, now: float) -> None:
-        """Update the profile of a packet's address."""
+        """Update the statistics of a packet's address."""
         if entry.is_in_statistics or entry.syn is None and not entry.tried:
             return  # The age of a flow opened through another balancer is unknown.
         self._statistics(packet).observe(packet, entry, now=now)
 
     def _statistics(self, packet: Packet) -> FlowStatistics:
+        """Return the flow statistics of a packet's address."""
         statistics = self._statistics_by_address
         return statistics.setdefault(packet.service_address, FlowStatistics())
 
@@ -420,6 +427,7 @@
         *,
         now: float,
     ) -> None:
+        """Log a placement, and observe its wait and load age."""
         chosen = next(c for c in candidates if c.record.name == name)
         load_age = self._context.membership.table.load_age(name, now=now)
         self.wait_seconds.observe(now - entry.created_at)
--- a/monsoonpier/balancer/packets/placement.py
+++ b/monsoonpier/balancer/packets/placement.py
@@ -135,6 +135,7 @@
 
 
 def _median_ms(candidates: Sequence[Candidate]) -> int:
+    """Return the median service time of these targets, in milliseconds."""
     timed = sorted(c.load.service_ms for c in candidates if c.load.service_ms)
     return timed[len(timed) // 2] if timed else DEFAULT_SERVICE_MS
 
--- a/monsoonpier/balancer/packets/process.py
+++ b/monsoonpier/balancer/packets/process.py
@@ -84,7 +84,7 @@
             on_configured=self._configured,
             draw=self._draw,
             configuration_format=configuration_format,
-            read_waiting=lambda: self._steering.waiting(now=_now()),
+            read_waiting=lambda: self._steering.waiting_summaries(now=_now()),
         )
         self._web = WebServer(
             address=settings.metrics,
@@ -123,6 +123,7 @@
         _log.info("stopped")
 
     async def _leave_and_finish(self) -> None:
+        """Leave the membership, and wait until packets have stopped arriving."""
         await self._life.wait_for_leaving()
         began = _now()
         # A task, so that an unresponsive store doesn't delay callers' packets.
@@ -136,6 +137,7 @@
         self._life.step("finished")
 
     def _configured(self) -> None:
+        """Apply a new configuration."""
         self._configured_at = _now()
         self._steering.configured()
         self._life.step("configured")
@@ -143,6 +145,7 @@
     # Packets and frames
 
     def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
+        """Handle a datagram of a caller."""
         now = _now()
         packet = self._codec.decode(data, from_target=False)
         if isinstance(packet, Dropped):
@@ -152,6 +155,7 @@
         self._perform(self._steering.from_caller(packet, now=now, draw=self._draw))
 
     def _take_frame(self, frame, sender: tuple[str, int]) -> None:
+        """Handle a frame of an agent or balancer."""
         packet: Packet | None = None
         if isinstance(frame, NotHeld | Turned) and frame.payload:
             decoded = self._codec.decode(frame.payload, from_target=False)
@@ -168,6 +172,7 @@
         self._perform(actions)
 
     def _perform(self, actions: list) -> None:
+        """Send the frames and resets of these actions, and schedule a retry."""
         for action in actions:
             match action:
                 case ToAgent(endpoint=endpoint, frame=frame, flow=flow):
@@ -180,21 +185,25 @@
             self._retry = loop.call_later(RETRY_CHECK_SECONDS, self._run_retries)
 
     def _run_retries(self) -> None:
+        """Run the pending work of the decisions."""
         self._retry = None
         self._perform(self._steering.retry(now=_now(), draw=self._draw))
 
     def _send_reset(self, packet: Packet) -> None:
+        """Send a reset to a packet's caller."""
         reset = self._codec.reset(packet.flow, acknowledged=packet.acknowledged)
         assert self._socket is not None
         endpoint = (packet.caller_ip, self._packets.port)
         self._sender.send(self._socket, reset, endpoint, urgency=Urgency.SMALL)
 
     def _drop(self, reason: str) -> None:
+        """Count and log a dropped datagram."""
         count = self._dropped_by_reason.get(reason, 0)
         self._dropped_by_reason[reason] = count + 1
         _log.warning("datagram dropped", reason=reason)
 
     def _metrics(self):
+        """Yield the metrics of this process."""
         membership = self._membership
         yield gauge(
             "uptime_seconds",
@@ -217,7 +226,7 @@
         )
         yield from self._steering.histograms
         yield from wait_metrics(
-            self._steering.waiting(now=_now()),
+            self._steering.waiting_summaries(now=_now()),
             data_centre=self._settings.data_centre,
         )
         yield from self._sender.readings
--- a/monsoonpier/balancer/packets/questions.py
+++ b/monsoonpier/balancer/packets/questions.py
@@ -67,6 +67,7 @@
     def _build_queries(
         self, service: str, flows: tuple[bytes, ...], *, now: float
     ) -> list[ToAgent]:
+        """Return the frames of one query to the agents of a service."""
         names = self._agents_to_query(service, flows)
         self._last_query += 1
         self._flows_by_query[self._last_query] = flows
--- a/monsoonpier/balancer/packets/queueing.py
+++ b/monsoonpier/balancer/packets/queueing.py
@@ -131,6 +131,7 @@
     def _announce(
         self, packet: Packet, entry: FlowEntry, *, now: float, draw: random.Random
     ) -> list:
+        """Query the caller's first attempt and reserve slots for a queued flow."""
         actions: list = []
         if not entry.is_attempt_queried and entry.first_attempt_at >= entry.created_at:
             entry.is_attempt_queried = True
@@ -287,6 +288,7 @@
     *,
     is_doubtful: bool = False,
 ) -> WaitingFlow:
+    """Return the queue entry of a flow."""
     return WaitingFlow(
         flow=flow,
         in_time_until=entry.first_attempt_at + route.aim_seconds,
--- a/monsoonpier/balancer/packets/reservations.py
+++ b/monsoonpier/balancer/packets/reservations.py
@@ -34,6 +34,8 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Reservation:
+    """The reservations of one flow."""
+
     service: str
     renew_at: float
     agents: tuple[str, ...]
@@ -114,6 +116,7 @@
     def _cancel_frames(
         self, flow: bytes, names: tuple[str, ...], *, service: str
     ) -> list[ToAgent]:
+        """Return the frames that cancel a flow's reservations at these agents."""
         frame = Reserve(service=service, flow=flow, in_time_ms=0, wait_ms=0)
         return self._context.to_agents(frame, names=names)
 
@@ -161,6 +164,7 @@
     def _reserve(
         self, flow: bytes, *, service: str, count: int, now: float, draw: random.Random
     ) -> list[ToAgent]:
+        """Reserve slots for a flow at further agents."""
         waiting = self._queues.find(flow, service=service)
         if waiting is None:
             self.forget(flow)
@@ -186,6 +190,7 @@
         return self._context.reserve(waiting, service=service, names=names, now=now)
 
     def _candidates(self, service: str, *, now: float) -> list[Candidate]:
+        """Return the targets of a service, without failing ones."""
         return reliable(self._context.membership.table.candidates_of(service, now=now))
 
 
--- a/monsoonpier/balancer/packets/returning.py
+++ b/monsoonpier/balancer/packets/returning.py
@@ -58,13 +58,15 @@
             now: The current time.
         """
         earlier = EarlierAttempt(asked_at=asked_at)
-        self.keep(packet.caller_ip, packet.service_address, earlier, back_at=now)
+        self.record(packet.caller_ip, packet.service_address, earlier, back_at=now)
 
     def earlier(self, packet: Packet, *, now: float) -> EarlierAttempt | None:
         """Return the earlier attempt of a new flow's caller, if it was rejected."""
-        return self.take(packet.caller_ip, packet.service_address, came_at=now, now=now)
+        return self.claim(
+            packet.caller_ip, packet.service_address, came_at=now, now=now
+        )
 
-    def keep(
+    def record(
         self, caller: str, service: Address, earlier: EarlierAttempt, *, back_at: float
     ) -> None:
         """Record that a rejected caller may come back from ``back_at`` on."""
@@ -77,7 +79,7 @@
         while len(self._rejections_by_caller) > self._most:
             self._rejections_by_caller.popitem(last=False)
 
-    def take(
+    def claim(
         self, caller: str, service: Address, *, came_at: float, now: float
     ) -> EarlierAttempt | None:
         """Remove and return the earlier attempt of a caller that has come back.
--- a/monsoonpier/balancer/packets/scope.py
+++ b/monsoonpier/balancer/packets/scope.py
@@ -48,8 +48,8 @@
 
     Attributes:
         names: All agents that have not ended, without those that have no target.
-        absent: Those of them that have found no target since their start.
-        starting: Those of them that have not reported a target yet; after a power
+        absent: Those of them that report that they find no target.
+        starting: Those of them whose target's state is not known yet; after a power
             loss everywhere they own no flow.
     """
 
@@ -64,9 +64,9 @@
     Attributes:
         membership: Targets, peers and the configuration.
         flows: Table of recently seen flows.
-        incarnations: When targets started, as their agents report.
+        instances: When targets started, as their agents report.
         returning_callers: Rejected callers that may come back, stored here.
-        first_syn_times: The same, shared by the balancers of the data centre.
+        first_attempts: The same, shared by the balancers of the data centre.
         counts_by_result: Decisions, for metrics.
         wait_statistics: Outcomes of new flows, by service and priority.
         opened_by_service: New flows by the service chosen for them, for metrics.
@@ -117,14 +117,14 @@
         table = self.membership.table
 
         def serves(service: str) -> bool:
-            # Until settled, some targets may not be known.
+            # Until convergence, some targets may not be known.
             return not is_converged or table.is_served(service, now=now)
 
         choice = choose_service(packet.flow, route, serves=serves)
         self.opened_by_service[choice.service] += 1
         if choice.passed_over:
             self.log.note(
-                "share passed on",
+                "share given to next service",
                 now=now,
                 flow=packet.flow,
                 service=choice.service,
@@ -191,20 +191,21 @@
         return self._all_started_with_balancer(self._names_of(services), now=now)
 
     def _all_started_with_balancer(self, names: Collection[str], *, now: float) -> bool:
+        """Return whether all of these targets started with this balancer."""
         records = self.membership.table.records
         known_data_centres = {record.data_centre for record in records}
         if not self._data_centres or not self._data_centres <= known_data_centres:
             return False
         starting = self._starting(names)
-        met = set(names) - starting
+        found = set(names) - starting
         if not self.instances.all_started_around(
-            met, balancer_started_at=self.started_at
+            found, balancer_started_at=self.started_at
         ):
             return False
         # If most targets in all data centres have restarted, the others have too;
         # waiting for the last one would delay callers.
-        places = {record.data_centre for record in records if record.name in met}
-        is_majority = len(met) > len(starting) and self._data_centres <= places
+        covered = {record.data_centre for record in records if record.name in found}
+        is_majority = len(found) > len(starting) and self._data_centres <= covered
         return is_majority or all(
             self._had_time_to_report(name, now=now) for name in starting
         )
@@ -246,7 +247,7 @@
         return record is not None and record.is_absent
 
     def _starting(self, names: Collection[str]) -> set[str]:
-        """Return the agents that have reported no target since their start."""
+        """Return the agents whose target's state is not known yet since their start."""
         records = {name: self.membership.table.record(name) for name in names}
         return {
             name
@@ -369,6 +370,7 @@
         return names_by_service
 
     def _records(self, names: Iterable[str]) -> list[TargetRecord]:
+        """Return the records of known targets."""
         records = [self.membership.table.record(name) for name in names]
         return [record for record in records if record is not None]
 
--- a/monsoonpier/balancer/packets/steering.py
+++ b/monsoonpier/balancer/packets/steering.py
@@ -88,7 +88,7 @@
         self._new_flows.configured()
         self._context.wait_statistics.configured(self._services)
 
-    def waiting(self, *, now: float) -> tuple[WaitingSummary, ...]:
+    def waiting_summaries(self, *, now: float) -> tuple[WaitingSummary, ...]:
         """Return waiting, served and rejected flows by service and priority."""
         return self._summaries(self._services, now=now)
 
@@ -117,6 +117,7 @@
         )
 
     def _first_attempt_at(self, flow: bytes) -> float | None:
+        """Return when a flow's caller made its first attempt, if it is known."""
         entry = self._context.flows.get(flow)
         return None if entry is None else entry.first_attempt_at
 
@@ -127,6 +128,7 @@
         return self._new_flows.retry(now=now, draw=draw) + self._resolver.retry(now=now)
 
     def _log_waits(self, *, now: float) -> None:
+        """Log the classes with queued or rejected flows."""
         # Only services with queued flows: going through all targets takes too long.
         flows_by_service = self._new_flows.waiting_by_service
         services = [name for name, flows in flows_by_service.items() if flows]
@@ -173,7 +175,7 @@
                 table.heard(table.name_at(sender), load, now=now)
                 return self._new_flows.place_waiting(now=now, draw=draw)
             case Held():
-                return self._on_held(frame, now=now)
+                return self._on_flow_owned(frame, now=now)
             case NotHeld():
                 return self._resolver.on_denial(frame, packet, now=now)
             case Holds():
@@ -190,12 +192,11 @@
                 self._context.first_attempts.store_rejection(frame, now=now)
                 return []
             case WhenAsked():
-                return self._context.first_attempts.answer(
-                    frame, sender=sender, now=now
-                )
+                return self._context.first_attempts.reply(frame, sender=sender, now=now)
         return self._resolver.on_directory_frame(frame, sender=sender, now=now)
 
-    def _on_held(self, frame: Held, *, now: float) -> list:
+    def _on_flow_owned(self, frame: Held, *, now: float) -> list:
+        """Handle an agent's report that its target has accepted or owns a flow."""
         table = self._context.membership.table
         table.heard(frame.agent, frame.load, now=now)
         record = table.record(frame.agent)
@@ -226,6 +227,7 @@
             )
 
     def _on_open(self, frame: Held, entry: FlowEntry, *, now: float) -> list:
+        """Record the confirmed owner of an open flow."""
         if entry.owners != (frame.agent,):
             self._context.log.note(
                 "owner learned",
--- a/monsoonpier/balancer/packets/tries.py
+++ b/monsoonpier/balancer/packets/tries.py
@@ -56,6 +56,7 @@
         return [action for flow in due for action in self._probe_pending(flow)]
 
     def _probe_pending(self, flow: bytes) -> list[ToAgent]:
+        """Return the collected probes of one flow."""
         entry = self._context.flows.get(flow)
         if entry is None or entry.lookup is None:
             return []
@@ -89,6 +90,7 @@
     def _probe_via(
         self, packet: Packet, names: list[str], *, service: str
     ) -> list[ToAgent]:
+        """Return the frame that has one agent relay a packet to the others."""
         first, *others = names
         records = [self._context.membership.table.record(name) for name in others]
         frame = PassOn(
@@ -100,6 +102,7 @@
 
 
 def _choose_probe(lookup: OwnerLookup) -> Packet:
+    """Return a flow's probe packet, chosen at first use."""
     if lookup.probe is None:
         lookup.probe = min(lookup.packets, key=_probe_cost)
     return lookup.probe
--- a/monsoonpier/balancer/packets/wait_readings.py
+++ b/monsoonpier/balancer/packets/wait_readings.py
@@ -94,6 +94,7 @@
 
 
 def _waits(summary: WaitingSummary) -> dict[str, float]:
+    """Return the longest wait and the expected wait of a class, in seconds."""
     waits = {"oldest": summary.oldest_seconds}
     if summary.expected_seconds is not None:
         waits["expected"] = summary.expected_seconds
--- a/tests/packets/test_caller_waits.py
+++ b/tests/packets/test_caller_waits.py
@@ -1,4 +1,4 @@
-"""What a balancer tells of callers that wait or are refused."""
+"""Statistics and log lines of queued and rejected flows."""
 
 import unittest
 from unittest import mock
@@ -31,7 +31,7 @@
 
 
 class SummaryTests(unittest.TestCase):
-    """One target of two slots, both taken; three callers come one after the other."""
+    """One target with two taken slots, and three callers in sequence."""
 
     def setUp(self) -> None:
         self.rig = SteeringRig(targets=1)
@@ -43,21 +43,21 @@
         return self.rig.caller(packet(number, syn=True), now=now)
 
     def summary(self, *, now: float) -> WaitingSummary:
-        (found,) = self.rig.steering.waiting(now=now)
+        (found,) = self.rig.steering.waiting_summaries(now=now)
         return found
 
     def test_waiting(self) -> None:
-        """Who waits is told by what it can still get, with the oldest wait."""
+        """Queued flows are counted as in time or late, with the longest wait."""
         found = self.summary(now=SETTLED + 0.35)
         self.assertEqual((found.service, found.priority), ("maps", 0))
         self.assertEqual((found.in_time, found.late, found.asked), (1, 2, 3))
         self.assertAlmostEqual(found.oldest_seconds, 0.25)
         self.assertAlmostEqual(found.waited_seconds, 0.25 + 0.15 + 0.05)
-        # One goes before; two slots of 40 ms take one more after a run.
+        # One flow is ahead of a new one, and there are two slots of 40 ms.
         self.assertAlmostEqual(found.expected_seconds, 0.04)
 
     def test_served(self) -> None:
-        """A flow that a target takes counts once, from when its caller asked."""
+        """An accepted flow counts once, with its wait since the first attempt."""
         self.rig.report("maps-1", now=SETTLED + 0.4, in_flight=0)
         self.rig.steering.retry(now=SETTLED + 0.4, draw=self.rig.draw)
         for is_open in (False, False, True):
@@ -71,7 +71,7 @@
         self.assertEqual(found.served_late, 0)
 
     def test_refused(self) -> None:
-        """Callers that are told to go are counted by reason, now and lately."""
+        """Rejected flows are counted by reason, in total and recently."""
         self.rig.steering.retry(now=SETTLED + 2.0, draw=self.rig.draw)
         found = self.summary(now=SETTLED + 2.0)
         self.assertEqual(found.waiting, 0)
@@ -80,7 +80,7 @@
         self.assertLess(self.summary(now=SETTLED + 60.0).lately.refused, 0.1)
 
     def test_copy(self) -> None:
-        """A copy's caller is told nothing: its first SYN may wait elsewhere."""
+        """A retransmission that is not placed is not counted as rejected."""
         copy = replace(packet(4, syn=True), waited=0.2)
         self.rig.caller(copy, now=SETTLED + 0.4)
         self.rig.steering.retry(now=SETTLED + 2.0, draw=self.rig.draw)
@@ -88,12 +88,12 @@
         self.assertEqual((found.asked, found.refused), (4, 3))
 
     def test_without_its_route(self) -> None:
-        """A class of work that has no route any more isn't shown for ever."""
+        """A service without a route is dropped from the summaries."""
         self.rig.configure(version=2, service="logs")
-        self.assertEqual(self.rig.steering.waiting(now=SETTLED + 1.0), ())
+        self.assertEqual(self.rig.steering.waiting_summaries(now=SETTLED + 1.0), ())
 
     def test_lines(self) -> None:
-        """One line in five seconds tells what waits and what has come since."""
+        """One log line per interval has the queued flows and the changes since."""
         with mock.patch.object(self.rig.steering._context.log, "note") as note:
             for seconds in (0.0, LOG_INTERVAL_SECONDS - 0.1, LOG_INTERVAL_SECONDS):
                 self.rig.steering.retry(now=SETTLED + seconds, draw=self.rig.draw)
@@ -103,10 +103,10 @@
 
 
 class BoundsTests(unittest.TestCase):
-    """Many services and mistaken reasons."""
+    """Bounds on services, reasons and log lines."""
 
     def test_metrics(self) -> None:
-        """Each reading has its labels; reasons beyond the usual are one."""
+        """Metrics have their labels; reasons beyond the limit count as other."""
         waits = WaitStatistics()
         for number in range(3 * MAX_REASONS):
             waits.count_rejected("maps-0", route(), f"reason {number}", now=1.0)
@@ -122,7 +122,7 @@
         self.assertTrue(any(line.endswith(asked) for line in lines))
 
     def test_lines(self) -> None:
-        """A line each for those that are worst off, whatever the services are."""
+        """Only the classes with the longest waits are logged."""
         waits = WaitStatistics()
         for number in range(3 * MAX_LOG_LINES):
             waits.count_rejected(f"maps-{number}", route(), "would be late", now=1.0)
@@ -131,12 +131,12 @@
         self.assertEqual(waits.log_fields(summaries), [])
 
     def test_classes(self) -> None:
-        """Priorities of a service are classes of their own."""
+        """Each priority of a service is a class of its own."""
         rig = SteeringRig()
         routes = {SERVICE: route(), OTHER_SERVICE: route(priority=1)}
         rig.membership.configure(Configuration(version=2, routes_by_address=routes))
         rig.steering.configured()
         for number, address in ((1, SERVICE), (2, OTHER_SERVICE), (3, OTHER_SERVICE)):
             rig.caller(packet(number, syn=True, address=address))
-        found = rig.steering.waiting(now=SETTLED)
+        found = rig.steering.waiting_summaries(now=SETTLED)
         self.assertEqual([(s.priority, s.asked) for s in found], [(0, 1), (1, 2)])
--- a/tests/packets/test_directory.py
+++ b/tests/packets/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory of holders: several balancers' steering, frames handed over."""
+"""Directory of flow owners, with several balancers."""
 
 import unittest
 
@@ -32,7 +32,7 @@
                 rig.membership.peers.learn(other)
 
     def run(self, endpoint: tuple[str, int], actions: list, *, now: float) -> list:
-        """Hand frames among balancers over; return all other actions."""
+        """Deliver frames among the balancers; return all other actions."""
         others = []
         queue = [(endpoint, action) for action in actions]
         while queue:
@@ -47,7 +47,7 @@
         return others
 
     def opened(self, endpoint: tuple[str, int], number: int, *, now: float) -> None:
-        """Let a flow open at ``maps-2`` through one balancer, and last."""
+        """Open a flow at ``maps-2`` through one balancer, and register it."""
         rig = self.rigs[endpoint]
         flow = packet(number).flow
         held = Held(flow=flow, agent="maps-2", load=load(), is_open=True)
@@ -56,7 +56,7 @@
 
 
 class DirectoryTests(unittest.TestCase):
-    """A flow that moves from one balancer to another."""
+    """Flows that move from one balancer to another."""
 
     def setUp(self) -> None:
         self.group = _Group(5)
@@ -68,7 +68,7 @@
         return rig.names(actions)
 
     def test_moved_flow_goes_straight_to_its_holder(self) -> None:
-        """Whichever balancer gets the next packet, only the holder's agent does."""
+        """A moved flow's packet is sent to its owner's agent only."""
         self.group.opened(self.first, 1, now=SETTLED)
         for endpoint in self.others:
             sent = packet(1, size=10)
@@ -76,24 +76,24 @@
             self.assertEqual(self.carried(endpoint, sent, now=200.1), ["maps-2"])
 
     def test_unregistered_flow_is_asked_of_all_agents(self) -> None:
-        """What the keepers don't know is asked of the agents at once."""
+        """The agents are queried if the directory has no entry."""
         names = self.carried(self.first, packet(9, size=10), now=200.0)
         self.assertEqual(names, ["maps-1", "maps-2", "maps-3"])
 
     def test_keepers_that_do_not_answer(self) -> None:
-        """When the keepers are gone, the agents are asked after 30 ms."""
+        """The agents are queried after 30 ms if the directory doesn't reply."""
         self.group.opened(self.first, 1, now=SETTLED)
         for endpoint in self.others:
             self.group.cut_off = set(self.group.rigs) - {endpoint}
             rig = self.group.rigs[endpoint]
             if self.carried(endpoint, packet(1, size=10), now=200.0):
-                continue  # this one keeps the flow itself
+                continue  # this one is a directory balancer of the flow
             late = rig.steering.retry(now=200.04, draw=rig.draw)
             names = rig.names(self.group.run(endpoint, late, now=200.04))
             self.assertEqual(names, ["maps-1", "maps-2", "maps-3"])
 
     def test_packets_wait_for_the_answer(self) -> None:
-        """Packets that come before the answer are sent once, in order."""
+        """Packets buffered during the query are forwarded once, in order."""
         self.group.opened(self.first, 1, now=SETTLED)
         self.group.cut_off = set(self.group.rigs)
         for endpoint in self.others:
@@ -109,10 +109,10 @@
             payloads = [a.frame.payload for a in actions if isinstance(a.frame, Carry)]
             self.assertEqual(payloads, [s.raw for s in sent])
             return
-        self.fail("all balancers keep the flow")
+        self.fail("all balancers are directory balancers of the flow")
 
     def test_stale_entry(self) -> None:
-        """A holder that denies what the directory says leads to the other agents."""
+        """When the registered owner denies the flow, the other agents are queried."""
         self.group.opened(self.first, 1, now=SETTLED)
         rig = self.group.rigs[self.others[0]]
         sent = packet(1, size=10)
@@ -123,7 +123,7 @@
         )
 
     def test_kept_holder_has_ended(self) -> None:
-        """A keeper's word for a target that has ended leads to the agents."""
+        """The agents are queried if the registered owner has ended."""
         self.group.opened(self.first, 1, now=SETTLED)
         for endpoint in self.others:
             gone = target("maps-2", host=2, epoch=2, condition=Condition.GONE)
@@ -132,7 +132,7 @@
             self.assertEqual(names, ["maps-1", "maps-3"])
 
     def test_short_flows_are_not_registered(self) -> None:
-        """A flow that its caller has closed is nobody's business any more."""
+        """A flow that its caller has closed is not registered."""
         rig = self.group.rigs[self.first]
         flow = packet(1).flow
         held = Held(flow=flow, agent="maps-2", load=load(), is_open=True)
@@ -143,7 +143,7 @@
         self.assertEqual(found, [])
 
     def test_bounded(self) -> None:
-        """A keeper forgets the flows that it heard of longest ago."""
+        """A full directory evicts the oldest entries."""
         rig = self.group.rigs[self.first]
         directory = OwnerDirectory(membership=rig.membership)
         for number in range(MAX_OWNERS + 10):
--- a/tests/packets/test_first_asked.py
+++ b/tests/packets/test_first_asked.py
@@ -1,4 +1,4 @@
-"""Callers that come back at another balancer: frames, losses, bounds, and a burst."""
+"""First attempts of callers that come back at another balancer."""
 
 import unittest
 from unittest import mock
@@ -28,17 +28,19 @@
 
 
 class SharedTests(unittest.TestCase):
-    """A caller that was refused at one balancer tries again at another."""
+    """A caller rejected by one balancer comes back at another."""
 
     def setUp(self) -> None:
         self.group = _Group(4)
         rigs = self.group.rigs
-        (self.home,) = (e for e, rig in rigs.items() if not times(rig).query(syn(1)))
-        self.first, self.next, _ = (e for e in rigs if e != self.home)
+        (self.directory,) = (
+            e for e, rig in rigs.items() if not times(rig).query(syn(1))
+        )
+        self.first, self.next, _ = (e for e in rigs if e != self.directory)
         self.rig = rigs[self.first]
 
     def take(self, endpoint, number: int, *, caller: int = 7, now: float) -> None:
-        """Let a SYN wait at a balancer while no slot is free."""
+        """Queue a SYN at a balancer while no slot is free."""
         rig = self.group.rigs[endpoint]
         for name in ("maps-1", "maps-2", "maps-3"):
             rig.report(name, now=now, **FULL)
@@ -51,7 +53,7 @@
         return self.group.run(endpoint, actions, now=now)
 
     def placed_first(self) -> bytes:
-        """Have a caller refused; return the SYN that then goes first elsewhere."""
+        """Reject a caller; return the SYN placed first at the other balancer."""
         self.take(self.first, 1, now=SETTLED)
         late = self.retry(self.first, now=SETTLED + 1.31)
         self.assertEqual(resets(late), ["no slot came free"])
@@ -62,16 +64,16 @@
         return placed.frame.payload
 
     def test_it_is_as_late_as_it_is(self) -> None:
-        """It doesn't go before one that can still be answered in time."""
+        """A returning caller doesn't overtake one that can still be served in time."""
         self.assertEqual(self.placed_first(), syn(3).raw)
 
     def test_keeper_is_away(self) -> None:
-        """Words that get lost change nothing: the caller counts as a new one."""
-        self.group.cut_off = {self.home}
+        """Without its directory balancer a returning caller counts as new."""
+        self.group.cut_off = {self.directory}
         self.assertEqual(self.placed_first(), syn(2).raw)
 
     def test_asked_once_a_flow_that_waits(self) -> None:
-        """Nobody asks while slots are free, nor a second time for one flow."""
+        """The first attempt is queried once, and only for queued flows."""
         (placed,) = self.group.rigs[self.next].caller(syn(9))
         self.assertIsInstance(placed.frame, Carry)
         self.take(self.first, 1, now=SETTLED)
@@ -87,7 +89,7 @@
         self.assertEqual(self.rig.agent(turned, syn(1), now=SETTLED + 0.02), [])
 
     def test_it_waits_no_longer_than_it_is_there(self) -> None:
-        """Its deadline counts from its first try: the rest is for a run."""
+        """A returning caller's wait is limited by its original timeout."""
         self.assertEqual(self.rig.agent(ANSWER), [])  # for a flow that is gone
         self.take(self.first, 1, now=SETTLED)
         self.rig.agent(ANSWER)
@@ -96,48 +98,48 @@
 
 
 class KeeperTests(unittest.TestCase):
-    """What a keeper does with words that come in any order."""
+    """Rejections and queries at a directory balancer, in any order."""
 
     def answers(self, *refusals: tuple[int, int], questions: int = 3) -> list[int]:
-        home = times(next(iter(_Group(1).rigs.values())))
+        balancer = times(next(iter(_Group(1).rigs.values())))
         caller = {"caller": "100.64.0.7", "service": (SERVICE.ip, SERVICE.port)}
         for asked_ms, back_ms in refusals:
             frame = Refused(asked_ms=asked_ms, back_ms=back_ms, **caller)
-            home.store_rejection(frame, now=5.0)
+            balancer.store_rejection(frame, now=5.0)
         question = WhenAsked(flow=syn(2).flow, **caller)
         sender = ("10.1.0.2", 7720)
         return [
-            answer.frame.asked_ms
+            reply.frame.asked_ms
             for _ in range(questions)
-            for answer in home.answer(question, sender=sender, now=5.1)
+            for reply in balancer.reply(question, sender=sender, now=5.1)
         ]
 
     def test_each_refusal_counts_once(self) -> None:
-        """Of several users of one address, as many are late as were refused."""
+        """Each rejection is used for one returning flow of a shared address."""
         self.assertEqual(self.answers((1_300, 0)), [1_400])
 
     def test_long_gone_behind_one_that_gives_up_later(self) -> None:
-        """What can't belong to a new request any more isn't taken for its own."""
+        """An expired rejection is not used for a new request."""
         callers = ReturningCallers()
         for asked_at, back_at in ((1.0, 3.4), (0.5, 2.0)):
             earlier = EarlierAttempt(asked_at=asked_at)
-            callers.keep("100.64.0.7", SERVICE, earlier, back_at=back_at)
-        found = callers.take("100.64.0.7", SERVICE, came_at=3.1, now=3.1)
+            callers.record("100.64.0.7", SERVICE, earlier, back_at=back_at)
+        found = callers.claim("100.64.0.7", SERVICE, came_at=3.1, now=3.1)
         self.assertIsNone(found)
 
     def test_one_that_gives_up_later(self) -> None:
-        """It doesn't stand before one that is back already."""
+        """A caller that gives up later doesn't hide one that is back already."""
         self.assertEqual(self.answers((100, 1_300), (700, 0)), [800])
 
     def test_bounded(self) -> None:
-        """An address with many refusals fills no memory."""
+        """Rejections of one address are bounded."""
         most = MAX_REJECTIONS + 5
         found = self.answers(*[(1_000, 0)] * most, questions=most)
         self.assertEqual(len(found), MAX_REJECTIONS)
 
 
 class BurstTests(unittest.TestCase):
-    """Three seconds of 1.6 times what the slots can do; callers come back."""
+    """Three seconds of 1.6 times the capacity; rejected callers come back."""
 
     WORLD = World(
         targets=20,
@@ -154,7 +156,7 @@
     )
 
     def test_slots_go_to_callers_that_are_there(self) -> None:
-        """Fewer SYNs reach targets in vain, and more answers are in time."""
+        """Fewer SYNs are sent for callers that have left; more are served in time."""
         shared = Simulation(self.WORLD).run()
         with mock.patch.object(FirstAttempts, "_directory_balancer", return_value=None):
             alone = Simulation(self.WORLD).run()
--- a/tests/packets/test_placement.py
+++ b/tests/packets/test_placement.py
@@ -1,4 +1,4 @@
-"""Which target a new flow goes to: near, idle, or both."""
+"""Placement of new flows by load and distance."""
 
 import random
 import unittest
@@ -51,31 +51,31 @@
         return near / 400
 
     def test_large_flows_stay_near(self) -> None:
-        """All but a few of uploads whose targets are idle."""
+        """Large uploads stay near while near targets are idle."""
         self.assertGreater(self.near_share(short_bytes=UPLOAD_BYTES), 0.9)
 
     def test_small_flows_stay_near(self) -> None:
-        """Most of small ones too, while near targets are as idle as others."""
+        """Most small flows stay near while near targets are as idle as others."""
         self.assertGreater(self.near_share(short_bytes=1_000), 0.85)
 
     def test_small_flows_leave_fuller_targets(self) -> None:
-        """A small flow goes to an idle target elsewhere before a half taken one."""
+        """A small flow prefers an idle remote target to a half taken near one."""
         share = self.near_share(short_bytes=1_000, near_load={"in_flight": 1})
         self.assertLess(share, 0.5)
 
     def test_half_taken_near_targets(self) -> None:
-        """A free slot near is taken before an idle target elsewhere; none was."""
+        """A large flow prefers a free near slot to an idle remote target."""
         share = self.near_share(short_bytes=UPLOAD_BYTES, near_load={"in_flight": 1})
         self.assertGreater(share, 0.9)
 
     def test_nobody_waits_for_a_near_slot(self) -> None:
-        """Where all near slots are taken a flow goes to an idle one elsewhere."""
+        """If all near slots are taken, a flow goes to an idle remote target."""
         for size in (UPLOAD_BYTES, 10 * UPLOAD_BYTES):
             share = self.near_share(short_bytes=size, near_load={"in_flight": 2})
             self.assertEqual(share, 0.0)
 
     def test_long_flows_spread(self) -> None:
-        """Flows that carry many requests are spread by load, not by their way."""
+        """Flows with many requests are spread by load, not by distance."""
         candidates = [
             candidate(n, draw=self.draw, flows=12 if n % DATA_CENTRES == 0 else 8)
             for n in range(DATA_CENTRES * TARGETS)
@@ -88,7 +88,7 @@
 
 
 class HabitTests(unittest.TestCase):
-    """What the flows of one address carry."""
+    """Statistics of the flows of one address."""
 
     def observe(
         self, statistics: FlowStatistics, *, sizes: list[int], answer: int
@@ -100,7 +100,7 @@
         statistics.observe(last, entry, now=0.5)
 
     def test_uploads_and_downloads(self) -> None:
-        """Both ways count: what was sent, and what was acknowledged."""
+        """Sent and acknowledged bytes both count."""
         for sizes, answer in (([1_200] * 33, 300), ([100], 40_000)):
             statistics = FlowStatistics()
             for _ in range(60):
@@ -111,13 +111,13 @@
             self.assertLess(statistics.long_share, 0.01)
 
     def test_first_flow_counts_in_full(self) -> None:
-        """Each balancer of a large fleet sees few flows of an address."""
+        """The first flow counts in full, since each balancer may see few."""
         statistics = FlowStatistics()
         self.observe(statistics, sizes=[1_200] * 33, answer=300)
         self.assertGreater(statistics.short_bytes, 39_000)
 
     def test_late_acknowledgement(self) -> None:
-        """One that is older than the first is no answer of four gigabytes."""
+        """A reordered acknowledgement doesn't count as a response of 4 GB."""
         statistics = FlowStatistics()
         self.observe(statistics, sizes=[100], answer=-50)
         self.assertLess(statistics.short_bytes, 1_000)
@@ -127,11 +127,7 @@
     """A service in three data centres whose slots are mostly idle."""
 
     def test_near_and_even(self) -> None:
-        """Most flows stay near, and no target runs much more than others.
-
-        With near ones preferred where all else was equal half of the flows went to
-        another data centre, and the most runs of a target were 1.37 times the mean.
-        """
+        """Most flows stay near, and the load is spread evenly over the targets."""
         world = World(
             targets=46,
             slots=1,
--- a/tests/packets/test_presence.py
+++ b/tests/packets/test_presence.py
@@ -1,4 +1,4 @@
-"""Whether callers of waiting flows are there: copies that came, came late or not."""
+"""Detection of abandoned flows by missing SYN retransmissions."""
 
 import unittest
 
@@ -11,26 +11,26 @@
 
 
 class PresenceTests(unittest.TestCase):
-    """A caller that sends its SYN again at 0.2 s and at 0.6 s, or doesn't."""
+    """A caller that should retransmit its SYN at 0.2 s and at 0.6 s."""
 
     def setUp(self) -> None:
         self.presence = CallerPresence()
         self.presence.track(FLOW, first_syn_at=0.0, latest_syn_offset=0.0, now=0.0)
 
     def test_copy_came(self) -> None:
-        """A caller that sends its copies is there."""
+        """A caller that retransmits on time is present."""
         self.presence.note_retransmission(FLOW, waited=0.2)
         self.assertEqual(self.presence.pop_abandoned(now=FIRST), [])
 
     def test_copy_lost(self) -> None:
-        """One lost copy makes it doubtful until the next one comes."""
+        """A flow is presumed abandoned from a lost retransmission to the next."""
         self.assertEqual(self.presence.pop_abandoned(now=FIRST), [FLOW])
         self.assertTrue(self.presence.note_retransmission(FLOW, waited=0.6))
         self.assertFalse(self.presence.is_presumed_abandoned(FLOW))
         self.assertEqual(self.presence.pop_abandoned(now=SECOND), [])
 
     def test_waits_again(self) -> None:
-        """What came while a target was asked counts."""
+        """A retransmission received before the flow was queued counts."""
         self.presence.forget(FLOW)
         self.assertFalse(
             self.presence.track(
@@ -44,7 +44,7 @@
         )
 
     def test_doubtful_ones_go_last(self) -> None:
-        """After those that are late, and still when nobody else waits."""
+        """Flows presumed abandoned go last, even after late ones."""
         queue = WaitingQueue()
         for flow, aim, is_doubtful in ((b"1", 9.0, True), (b"2", 0.0, False)):
             waiting = WaitingFlow(
--- a/tests/packets/test_processes.py
+++ b/tests/packets/test_processes.py
@@ -1,4 +1,4 @@
-"""Real balancers and agents on loopback, judged by callers and targets."""
+"""Balancer and agent processes on loopback, checked by callers and targets."""
 
 import asyncio
 import signal
@@ -11,7 +11,7 @@
 
 
 class ProcessTests(unittest.IsolatedAsyncioTestCase):
-    """A deployment of its own for each test, on a net of its own."""
+    """One deployment per test, each on its own network."""
 
     async def _start(self, net: str, *, balancers: int = 2) -> PacketDeployment:
         deployment = PacketDeployment(net=net, seed=3)
@@ -52,10 +52,9 @@
         self.assertEqual(load.counts["failed"], 0, load.reasons)
 
     async def test_route_that_is_shared(self) -> None:
-        """A rollout by weights breaks no flow, also when all balancers are killed.
+        """A rollout by weights breaks no flow, even if all balancers are killed.
 
-        Flows are open at targets of both services then. In the end a weight of 0 gets
-        no new flow.
+        At the end the service with weight 0 gets no new flow.
         """
         deployment = await self._start("127.84.14")
         load = await self._load(deployment)
@@ -77,10 +76,7 @@
         await self._finish(load)
 
     async def test_evacuated(self) -> None:
-        """A data centre takes no new flow while it is evacuated, also after kills.
-
-        Both balancers are killed meanwhile: who starts knows before it places.
-        """
+        """An evacuated data centre gets no new flow, even after restarts."""
         deployment = PacketDeployment(net="127.84.12", seed=3, zones=("dc-1", "dc-2"))
         await self.enterAsyncContext(deployment)
         deployment.configure()
@@ -97,7 +93,7 @@
         load = await self._load(deployment)
         self.assertGreater(emptied.opened, 0)
         deployment.store.put("op/evacuate/dc-2", b"{}")
-        await asyncio.sleep(1.0)  # the aim: in force everywhere by then
+        await asyncio.sleep(1.0)  # orders must be in force everywhere by then
         before = emptied.opened
         await asyncio.sleep(1.0)
         for name in balancers:
@@ -112,12 +108,9 @@
         self.assertTrue(verdict.is_clean, f"{verdict} {load.reasons}")
 
     async def test_changed_settings(self) -> None:
-        """SIGHUP, which says that settings have changed, ends no process.
-
-        Found by a hunt on pacifico-pier-grown (hunt-b495-3): 33 processes ended.
-        """
+        """SIGHUP, which announces changed settings, ends no process."""
         deployment = await self._start("127.84.7")
-        # No program can keep the signal from ending it before its first line.
+        # The signal ends a process that has not installed its handler yet.
         await deployment.wait_ready(*deployment.nodes_by_name)
         nodes = list(deployment.nodes_by_name.values())
         for node in nodes:
@@ -127,7 +120,7 @@
         await deployment.wait_ready(*deployment.nodes_by_name)
 
     async def test_agent_killed_beside_a_living_target(self) -> None:
-        """Flows that are open at a target go on when its agent starts again."""
+        """Open flows of a target survive a restart of its agent."""
         deployment = await self._start("127.84.2")
         load = await self._load(deployment)
         deployment.nodes_by_name["maps-1"].signal(signal.SIGKILL)
@@ -138,7 +131,7 @@
         self.assertEqual(load.counts["failed"], 0, load.reasons)
 
     async def test_target_crashes(self) -> None:
-        """Callers of a crashed target's flows are reset at once, not left waiting."""
+        """A crashed target's flows are reset at once."""
         deployment = await self._start("127.84.3")
         load = await self._load(deployment)
         await deployment.stop_target("maps-1")
@@ -149,7 +142,7 @@
         self.assertNotIn("request: TimeoutError()", load.reasons)
 
     async def test_all_killed_with_the_store_away(self) -> None:
-        """Whoever lives brings configuration to all that start without the store."""
+        """Processes that start without the store get the configuration from a peer."""
         deployment = await self._start("127.84.4", balancers=3)
         load = await self._load(deployment)
         deployment.store.faults.is_down = True
@@ -167,10 +160,9 @@
         await self._finish(load)
 
     async def test_all_killed_beside_living_targets(self) -> None:
-        """Flows of living targets are found again, by way of agents too.
+        """Flows of running targets are found again, also through relaying agents.
 
-        Flows that are silent all the while are known to no process afterwards: the
-        targets say nothing on them, and the callers send when all is up again.
+        This includes flows that were idle throughout, which no restarted process knows.
         """
         deployment = await self._start("127.84.8")
         for number in range(3, 7):
@@ -200,7 +192,7 @@
         await self._finish(load)
 
     async def test_target_leaves(self) -> None:
-        """A leaving target gets no new flow and fails no request."""
+        """A draining target gets no new flow and fails no request."""
         deployment = await self._start("127.84.5")
         load = await self._load(deployment)
         target = deployment.targets_by_name["maps-1"]
@@ -213,7 +205,7 @@
         self.assertEqual(load.counts["failed"], 0, load.reasons)
 
     async def test_configuration_in_force_everywhere(self) -> None:
-        """A new configuration is in force on all balancers, a removed route too."""
+        """A new configuration takes effect on all balancers; removed routes end."""
         deployment = await self._start("127.84.6", balancers=3)
         deployment.configure("maps", routes=300)
         await asyncio.sleep(1.5)
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -1,4 +1,4 @@
-"""After a loss of power everywhere, replayed in simulated time."""
+"""Recovery after a power loss everywhere, in simulated time."""
 
 import unittest
 from dataclasses import replace
@@ -27,7 +27,7 @@
 
 
 class PowerTests(unittest.TestCase):
-    """Long flows that died, cold targets, and all callers back at once."""
+    """Dead long flows, cold targets, and all callers back at once."""
 
     def in_time(self, world: World, since: float, until: float) -> float:
         simulation = Simulation(world)
@@ -35,11 +35,11 @@
         return simulation.in_time_between(since, until)
 
     def test_soon_as_before(self) -> None:
-        """A second after the power, nearly all is served in time again."""
+        """A second after power returns, nearly all requests are served in time."""
         self.assertGreater(self.in_time(WORLD, BACK + 1, BACK + 3), 0.95)
 
     def test_dead_flows_are_answered_at_once(self) -> None:
-        """Callers whose flows died don't wait for balancers to be sure of more."""
+        """Dead flows are reset without a long wait for unknown agents."""
         many = replace(WORLD, long_flows=60)
         soon = self.in_time(many, BACK, BACK + 0.6)
         with mock.patch.object(scope, "PEER_DISCOVERY_SECONDS", 4.0):
@@ -47,15 +47,15 @@
         self.assertGreater(soon, 1.2 * late)
 
     def test_fully_used_service(self) -> None:
-        """Cold targets are overloaded for two seconds; the queue doesn't stay."""
+        """Cold targets are overloaded for two seconds; no backlog remains."""
         self.assertGreater(self.in_time(FULL_WORLD, BACK + 3, BACK + 5), 0.95)
 
 
 class WaitingTests(unittest.TestCase):
-    """A service of 28 slots that runs at 1.6 times its usual time after an outage.
+    """A service of 28 slots with service times 1.6 times the usual after an outage.
 
-    Processes come back one after the other, and those who have waited meanwhile are
-    as many as half of those who can still be answered in time.
+    Processes restart one after the other, and the backlog is half as large as the
+    number of callers that can still be served in time.
     """
 
     WORLD = World(
@@ -74,7 +74,7 @@
     SEEDS = (1, 2, 3)
 
     def worth(self, world: World, since: float, until: float) -> float:
-        """Return the mean worth of that time's answers."""
+        """Return the mean worth of the responses in that time."""
         worths = []
         for seed in self.SEEDS:
             simulation = Simulation(replace(world, seed=seed))
@@ -83,17 +83,11 @@
         return sum(worths) / len(worths)
 
     def test_backlog_makes_nobody_late(self) -> None:
-        """Who asks while the backlog is worked off is answered in time.
-
-        Worked off oldest first, that time's answers were worth 0.90.
-        """
+        """New callers are served in time while the backlog is worked off."""
         self.assertGreater(self.worth(self.WORLD, 6.96, 8.96), 0.93)
 
     def test_burst(self) -> None:
-        """Of four times the load, as many as there are slots for are in time.
-
-        Worked off oldest first, that time's answers were worth 0.65.
-        """
+        """At four times the load, all slots serve flows that are in time."""
         burst = replace(
             self.WORLD,
             long_flows=4,
--- a/tests/packets/test_reservations.py
+++ b/tests/packets/test_reservations.py
@@ -1,4 +1,4 @@
-"""Slots reserved for flows that wait, and offered in one order."""
+"""Slot reservations of queued flows, and the offers of agents."""
 
 import unittest
 from dataclasses import replace as replaced
@@ -46,7 +46,7 @@
 
 
 class ReservationsTests(unittest.TestCase):
-    """What several balancers have reserved at one agent."""
+    """Reservations of several balancers at one agent."""
 
     def setUp(self) -> None:
         self.reservations = Reservations()
@@ -60,7 +60,7 @@
         return None if found is None else found.balancer
 
     def test_one_order_for_all_balancers(self) -> None:
-        """Urgent ones first, then the least time left, whoever asked first."""
+        """Offers go by priority, then by least time left, across balancers."""
         self.reserve(1, BALANCER, in_time_ms=400, priority=2)
         self.reserve(2, OTHER_BALANCER, in_time_ms=300, priority=2)
         self.reserve(3, NEXT_BALANCER, in_time_ms=500, priority=1)
@@ -68,7 +68,7 @@
         self.assertEqual(offered, [NEXT_BALANCER, OTHER_BALANCER, BALANCER, None])
 
     def test_silent_balancer_loses_its_turns(self) -> None:
-        """A balancer that has ended costs two offers' time, not one a flow."""
+        """A balancer that has ended costs two offer timeouts, not one per flow."""
         for number in range(5):
             self.reserve(number, BALANCER, in_time_ms=300)
         self.reserve(9, OTHER_BALANCER, in_time_ms=400)
@@ -84,7 +84,7 @@
         self.assertEqual(len(self.reservations), 0)
 
     def test_slow_balancer_keeps_its_turns(self) -> None:
-        """One answer that is late, as on a full link, loses nobody's place."""
+        """One late reply to an offer loses no reservation."""
         for number in range(3):
             self.reserve(number, BALANCER, in_time_ms=300)
         for number in range(2):
@@ -95,7 +95,7 @@
         self.assertEqual(len(self.reservations), 1)
 
     def test_several_that_pass_at_once(self) -> None:
-        """A balancer that is behind for a moment keeps its places."""
+        """A balancer that misses several offers at once keeps its reservations."""
         for number in range(4):
             self.reserve(number, BALANCER, in_time_ms=300)
         self.assertEqual([self.offer(), self.offer()], [BALANCER, BALANCER])
@@ -103,7 +103,7 @@
         self.assertEqual(len(self.reservations), 2)
 
     def test_taken_back_by_its_own_balancer_only(self) -> None:
-        """A copy of the SYN that waits elsewhere takes no place away."""
+        """A retransmission queued elsewhere doesn't cancel the reservation."""
         self.reserve(1, BALANCER)
         self.reserve(1, OTHER_BALANCER, wait_ms=0)
         self.assertEqual(len(self.reservations), 1)
@@ -111,24 +111,24 @@
         self.assertEqual(len(self.reservations), 0)
 
     def test_caller_that_gave_up(self) -> None:
-        """Nothing is offered for a flow whose caller has given up meanwhile."""
+        """No slot is offered for a flow that has expired."""
         self.reserve(1, BALANCER, in_time_ms=0, wait_ms=200)
         self.assertIsNone(self.offer(now=0.3))
 
     def test_same_flow_reserves_once(self) -> None:
-        """A copy of a reservation takes no second place."""
+        """A repeated reservation of a flow takes no second place."""
         self.assertTrue(self.reserve(1, BALANCER))
         self.assertTrue(self.reserve(1, BALANCER))
         self.assertEqual([self.offer(), self.offer()], [BALANCER, None])
 
     def test_bounded(self) -> None:
-        """More than an agent can serve before callers give up isn't kept."""
+        """Reservations beyond what an agent can serve are dropped."""
         taken = [self.reserve(n, BALANCER) for n in range(MAX_RESERVATIONS + 1)]
         self.assertEqual(taken.count(False), 1)
 
 
 class LateTests(unittest.TestCase):
-    """Flows in time that take all slots, and late ones that wait beside them."""
+    """Flows in time that use all slots, and late ones queued beside them."""
 
     RUN_SECONDS = 0.04
 
@@ -148,22 +148,22 @@
         return sum(offer.is_late_turn for offer in found if offer is not None)
 
     def test_few_wait_their_turn(self) -> None:
-        """With time enough left they get one slot in sixteen, and nobody starves."""
+        """Late flows with time left get one slot in sixteen and don't starve."""
         self.assertEqual(self.late_turns(late=4, wait_ms=2_900), 64 // LATE_TURN)
 
     def test_what_can_be_served_is_served(self) -> None:
-        """A rush that passes leaves nobody behind: they get what they need."""
+        """After a short burst all late flows are served."""
         turns = self.late_turns(late=16, wait_ms=1_200)
         self.assertGreater(turns, 2 * 64 // LATE_TURN)
         self.assertLessEqual(turns, 16)
 
     def test_more_than_can_be_served(self) -> None:
-        """Where most of the late ones give up anyway, those in time aren't lost too."""
+        """Late flows that would expire anyway don't displace those in time."""
         self.assertEqual(self.late_turns(late=200, wait_ms=1_200), 64 // LATE_TURN)
 
 
 class AgentTests(unittest.TestCase):
-    """A target of one slot, taken by flow 1, with a flow behind it on its way."""
+    """A target of one slot, used by flow 1, with another flow behind it."""
 
     def setUp(self) -> None:
         self.holder = holder(slots=1)
@@ -193,13 +193,13 @@
         return self.holder.reserve(reserve(number), balancer=balancer, now=now)
 
     def test_next_request_comes_during_the_run(self) -> None:
-        """Its handshake passes while the slot is taken, so that none stands empty."""
+        """The next flow opens while the slot is in use, so the slot is never empty."""
         self.assertEqual(len(frames(self.reserve(2), Offer)), 1)
         actions = self.bring(2, now=1.004)
         self.assertEqual([a.raw for a in actions], [packet(2, syn=True).raw])
 
     def test_no_more_than_one_ahead(self) -> None:
-        """What waits longer than a run stays where it may go to another target."""
+        """A flow that would wait longer than one request is not sent ahead."""
         self.reserve(2)
         self.assertEqual(frames(self.reserve(3), Offer), [])
         self.bring(2, now=1.004)
@@ -207,14 +207,14 @@
         self.assertEqual(len(frames(done, Offer)), 1)
 
     def test_decline_goes_on_to_another(self) -> None:
-        """A slot that a balancer has no flow for is offered to the next at once."""
+        """A declined slot is offered to the next balancer at once."""
         self.reserve(2)
         self.reserve(3, balancer=OTHER_BALANCER)
         actions = self.holder.declined(balancer=BALANCER, now=1.003)
         self.assertEqual([a.endpoint for a in actions], [OTHER_BALANCER])
 
     def test_unasked_flows_go_back(self) -> None:
-        """What nobody offered a slot to doesn't overtake those that have waited."""
+        """A flow sent without an offer doesn't overtake reservations."""
         self.reserve(2)
         self.assertEqual(
             len(frames(self.bring(3, now=1.001, is_offered=False), Turned)), 1
@@ -222,7 +222,7 @@
         self.assertGreater(self.holder.load(now=1.001).in_flight, 1)
 
     def test_leaving_target_offers_nothing(self) -> None:
-        """No new work on a target that leaves: what was reserved is forgotten."""
+        """A leaving target drops its reservations and offers no slot."""
         self.reserve(2)
         self.holder.condition = Condition.LEAVING
         self.assertEqual(frames(self.holder.expire(now=1.1), Offer), [])
@@ -231,14 +231,14 @@
         self.assertEqual([frame.reason for frame in refused], ["leaving"])
 
     def test_connection_limit(self) -> None:
-        """A target without a free connection offers none of its slots."""
+        """A target without a free connection offers no slot."""
         for number in range(10, 109):
             self.holder.from_target(answer(number, size=5), now=1.0)
         self.assertGreaterEqual(self.holder.flows, 100)
         self.assertEqual(frames(self.reserve(2), Offer), [])
 
     def test_cold_limit(self) -> None:
-        """A cold target offers no more than it bears in a second."""
+        """A cold target offers no more slots than its limit per second."""
         self.holder = holder(slots=4)
         cold = self.holder.target_load.cold
         cold.per_second, cold.until = 2.0, 5.0
@@ -246,7 +246,7 @@
         self.assertEqual([len(found) for found in offers], [1, 1, 0, 0])
 
     def test_offered_slot_is_kept(self) -> None:
-        """A flow that nobody asked for takes no slot that was offered."""
+        """A flow sent without an offer doesn't take an offered slot."""
         self.holder = holder(slots=1)
         self.reserve(2)
         self.reserve(3, balancer=OTHER_BALANCER)
@@ -254,7 +254,7 @@
         self.assertEqual(len(frames(unasked, Turned)), 1)
 
     def test_offer_that_is_not_answered(self) -> None:
-        """A balancer that ends leaves the slot to others a moment later."""
+        """An unanswered offer expires, and others get the slot."""
         self.reserve(2)
         self.reserve(3, balancer=OTHER_BALANCER)
         late = self.holder.expire(now=1.0 + OFFER_SECONDS)
@@ -274,20 +274,20 @@
         return self.rig.agent(Offer(agent=name, load=report), now=now)
 
     def test_reserves_at_two_agents(self) -> None:
-        """A flow that waits reserves at two different agents, and stays here."""
+        """A queued flow reserves at two agents and stays at the balancer."""
         actions = self.rig.caller(packet(syn=True))
         self.assertEqual(len(frames(actions, Reserve)), RESERVED_AT)
         self.assertEqual(len(set(self.rig.names(actions))), RESERVED_AT)
         self.assertEqual(frames(actions, Carry), [])
 
     def test_nothing_without_the_setting(self) -> None:
-        """Deployments that don't ask for it send none of these frames."""
+        """Without the setting no reservation is sent."""
         self.rig = SteeringRig(targets=1)
         self.rig.report("maps-1", now=SETTLED, in_flight=3)
         self.assertEqual(self.rig.caller(packet(syn=True)), [])
 
     def test_offer_takes_the_first_by_then(self) -> None:
-        """The flow is chosen when a slot is free, not when it was reserved."""
+        """The flow is chosen when a slot is offered, not when it was reserved."""
         self.rig.caller(packet(1, syn=True), now=SETTLED)
         self.rig.caller(packet(2, syn=True), now=SETTLED + 0.01)
         actions = self.offer(now=SETTLED + 0.02)
@@ -295,13 +295,13 @@
         self.assertTrue(frames(actions, Carry)[0].is_offered)
 
     def test_nothing_left(self) -> None:
-        """An offer that comes too late is declined, so that others get the slot."""
+        """An offer without a queued flow is declined."""
         self.rig.caller(packet(1, syn=True))
         self.offer()
         self.assertEqual(len(frames(self.offer("maps-2"), Decline)), 1)
 
     def test_agent_that_ended(self) -> None:
-        """A flow that isn't offered anything reserves elsewhere, within bounds."""
+        """A flow that gets no offer reserves at further agents, within bounds."""
         self.rig.caller(packet(1, syn=True))
         now, reserved = SETTLED, []
         while now < SETTLED + 1.25:
@@ -314,11 +314,11 @@
                 self.rig.caller(copy, now=now)
             actions = self.rig.steering.retry(now=now, draw=self.rig.draw)
             reserved += self.rig.names(actions)
-        self.assertEqual(len(reserved), 1)  # the only agent that it hadn't asked
+        self.assertEqual(len(reserved), 1)  # the only agent without a reservation
         self.assertLessEqual(RESERVED_AT + len(reserved), MAX_AGENTS)
 
     def test_new_request_after_the_last_try(self) -> None:
-        """A caller whose tries are used up asks for something new, in its time."""
+        """A caller that has used up its attempts counts as new."""
         in_time_ms = []
         now = SETTLED
         for number in range(4):
@@ -333,19 +333,19 @@
         self.assertEqual(in_time_ms, [200, 0, 0, 200])
 
     def test_evacuated_data_centre(self) -> None:
-        """An agent that hasn't heard of the order yet is sent nothing."""
+        """An offer from an evacuated data centre isn't accepted."""
         self.rig.caller(packet(1, syn=True))
         self.rig.membership.table.evacuated = frozenset({"dc-1"})
         self.assertEqual(len(frames(self.offer(), Decline)), 1)
 
     def test_route_removed(self) -> None:
-        """A flow whose route a configuration drops is told so, not forgotten."""
+        """A queued flow whose route is removed is reset."""
         self.rig.caller(packet(1, syn=True))
         self.rig.membership.configure(Configuration(version=2))
         self.assertEqual(resets(self.offer()), ["no route"])
 
     def test_caller_that_left(self) -> None:
-        """No slot is kept for one that sends no copy of its SYN when one is due."""
+        """Reservations of a flow that is presumed abandoned are cancelled."""
         begun = self.rig.caller(packet(1, syn=True))
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=SETTLED + 0.3, in_flight=3)
@@ -360,7 +360,7 @@
         self.assertEqual(later, [])
 
     def test_refused_while_reserved(self) -> None:
-        """A flow whose time is over is reset, and later offers find nothing."""
+        """An expired flow is reset, and later offers are declined."""
         self.rig.caller(packet(1, syn=True))
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=101.0, in_flight=3)
@@ -373,7 +373,7 @@
     """Targets of one service that differ in speed."""
 
     def test_slow_slot_gets_one_with_time_left(self) -> None:
-        """The one nearest to its aim would be late there; a fast slot takes it."""
+        """A slow slot goes to a flow that can still be served in time there."""
         queue = WaitingQueue()
         for name, aim in ((b"near", 1.1), (b"far", 1.3)):
             queue.add(
@@ -384,7 +384,7 @@
         self.assertEqual((slow.flow, fast.flow), (b"far", b"near"))
 
     def test_slot_is_never_left_empty_for_order(self) -> None:
-        """Where nobody has time enough the slot goes to whoever waits."""
+        """A slot is used even if no flow would be served in time."""
         queue = WaitingQueue()
         queue.add(WaitingFlow(flow=b"a", in_time_until=1.1, expires=3.0, priority=1))
         taken = queue.pop_for(is_late_turn=False, answered_at=2.0)
@@ -392,11 +392,7 @@
 
 
 class SaturationTests(unittest.TestCase):
-    """Seconds of more callers than slots, most of them in one data centre.
-
-    Eighteen targets of one slot, of speeds 0.7, 0.7 and 1.7, nine balancers; for three
-    seconds 1.28 times what the targets can do.
-    """
+    """A burst of 1.28 times the capacity, mostly in one data centre."""
 
     WORLD = World(
         targets=18,
@@ -421,12 +417,12 @@
         cls.outcome = cls.reserved.run()
 
     def test_more_are_answered_in_time(self) -> None:
-        """Slots that don't stand empty, given out in one order, serve more."""
+        """Reservations serve more flows in time."""
         self.assertGreater(self.outcome.worth, self.plain_outcome.worth + 0.02)
         self.assertGreaterEqual(self.outcome.served, self.plain_outcome.served)
 
     def test_where_callers_enter_matters_less(self) -> None:
-        """Callers of a crowded data centre wait hardly longer than others."""
+        """With reservations waits differ less between data centres."""
         late = self.reserved.late_by_data_centre()
         plain = self.plain.late_by_data_centre()
         self.assertLess(max(late) - min(late), 0.06)
--- a/tests/packets/test_shares.py
+++ b/tests/packets/test_shares.py
@@ -1,4 +1,4 @@
-"""Routes whose flows several services share."""
+"""Routes whose flows several services share by weight."""
 
 import itertools
 import math
@@ -47,7 +47,7 @@
 
 
 class ChoiceTests(unittest.TestCase):
-    """The service of a new flow."""
+    """Choice of the service of a new flow."""
 
     def assert_shares(self, found: list[str], **shares: float) -> None:
         counts = Counter(found)
@@ -57,14 +57,14 @@
             self.assertAlmostEqual(counts[service], FLOWS * share, delta=sampling)
 
     def test_weights_are_met(self) -> None:
-        """A rollout's services get their shares; a weight of 0 gets nothing."""
+        """Services get shares by weight; a weight of 0 gets nothing."""
         self.assert_shares(choices(shared(maps=90, next=10)), maps=0.9, next=0.1)
         thirds = shared(maps=6, next=3, old=1, off=0)
         self.assert_shares(choices(thirds), maps=0.6, next=0.3, old=0.1)
         self.assertEqual(set(choices(shared(maps=0))), {""})
 
     def test_rollout_moves_no_more_than_it_must(self) -> None:
-        """When one weight grows flows move to that service only."""
+        """When one weight grows, flows move to that service only."""
         before = choices(shared(maps=90, next=10, old=20))
         after = choices(shared(maps=90, next=60, old=20))
         moves = {(b, a) for b, a in zip(before, after, strict=True) if b != a}
@@ -72,7 +72,7 @@
         self.assertEqual(before, choices(shared(old=2, next=1, maps=9)))
 
     def test_service_without_a_target(self) -> None:
-        """The share of one whose targets are all lost goes to the rest by weight."""
+        """The share of a service without a target goes to the others by weight."""
         route = shared(maps=60, next=30, old=10)
         before, after = choices(route), choices(route, without=("maps",))
         self.assert_shares(after, next=0.75, old=0.25)
@@ -81,7 +81,7 @@
 
 
 class SteeringTests(unittest.TestCase):
-    """Balancers where ``maps`` and ``logs`` share an address."""
+    """Balancers with a route that ``maps`` and ``logs`` share."""
 
     def rig(self, *, started_at: float = 0.0, **weights: float) -> SteeringRig:
         rig = SteeringRig(targets=2, version=0, started_at=started_at)
@@ -98,20 +98,20 @@
         rig.steering.configured()
 
     def services(self, rig: SteeringRig, *, now: float = SETTLED) -> list[str]:
-        """Return which services 40 new flows are for, placed or waiting."""
+        """Return the services of 40 new flows, placed or queued."""
         for number in range(40):
             rig.caller(packet(number, syn=True), now=now)
         flows = rig.steering._context.flows
         return [flows.get(packet(number).flow).service for number in range(40)]
 
     def test_every_balancer_chooses_alike(self) -> None:
-        """A SYN's copy at another balancer, or one that restarted, goes there too."""
+        """Another or a restarted balancer chooses the same service for a flow."""
         found = self.services(self.rig())
         self.assertEqual(set(found), {"maps", "logs"})
         self.assertEqual(self.services(self.rig(started_at=80.0)), found)
 
     def test_full_service_keeps_its_share(self) -> None:
-        """Operators limit with weights what a service gets, also under load."""
+        """A service whose targets are full keeps its share."""
         undisturbed, rig = self.rig(), self.rig()
         for number in (3, 4):
             full = load(number=9, in_flight=9, flows=2_000)
@@ -123,7 +123,7 @@
         self.assertEqual(opened, undisturbed.steering.opened_by_service)
 
     def test_service_whose_targets_leave(self) -> None:
-        """Its share goes to the rest; before all are known it is kept for them."""
+        """Its share goes to the others, but only once all targets are known."""
         undisturbed = self.services(self.rig())
         for now, expected in ((SETTLED, ["maps"] * 40), (0.5, undisturbed)):
             rig = self.rig()
@@ -133,7 +133,7 @@
             self.assertEqual(self.services(rig, now=now), expected)
 
     def asked(self, actions: list) -> set[tuple[str, str]]:
-        """Return which agents are asked, and in the name of which service."""
+        """Return which agents are queried, with the service named in the query."""
         names_by_endpoint = {(f"10.2.0.{n}", 7720): n for n in range(1, 9)}
         return {
             (names_by_endpoint[a.endpoint], a.frame.service)
@@ -142,7 +142,7 @@
         }
 
     def test_restarted_balancer_asks_all_services(self) -> None:
-        """It resets a flow when the agents of all services have denied it."""
+        """A flow is reset once agents of all services of its route have denied it."""
         rig = self.rig()
         every = {(1, "maps"), (2, "maps"), (3, "logs"), (4, "logs")}
         for flow, holder in ((1, None), (2, "logs-3")):
@@ -161,7 +161,7 @@
         self.assertEqual([a.frame.service for a in carried], ["logs"])
 
     def test_agents_restarted_too(self) -> None:
-        """Each agent is brought a packet to try in its own service's name."""
+        """A probe names the service of each agent that it goes to."""
         rig = self.rig()
         rig.caller(packet(size=9))
         questions = rig.steering._resolver._queries._flows_by_query
@@ -178,7 +178,7 @@
         self.assertLessEqual(brought, expected | {("10.2.0.4", "logs")})
 
     def test_route_that_moves_on(self) -> None:
-        """Open flows stay where they are, and are found where they were opened."""
+        """Open flows keep their owner when the route changes to another service."""
         rig = self.rig(maps=1)
         placed = rig.caller(packet(syn=True))
         (name,) = rig.names(placed)
@@ -191,10 +191,10 @@
 
 
 class DocumentTests(unittest.TestCase):
-    """What operators write."""
+    """Shares in configuration documents."""
 
     def test_wrong_entries(self) -> None:
-        """All that is wrong is told at once; what can be understood is in force."""
+        """All errors are reported at once; the valid entries are used."""
         entries = [("a", None), ("b", -1), ("c", "5"), ("d", 5), ("d", 1), (7, 1)]
         found = read_shares(
             [{"service": service, "weight": weight} for service, weight in entries],
@@ -207,7 +207,7 @@
         self.assertEqual(len(found.findings), 7)
 
     def test_no_usable_weight(self) -> None:
-        """Where nobody has a weight services share alike; zeros are meant."""
+        """Without a valid weight services share equally; zeros are kept."""
         for weight, expected, told in (("x", 1, 2), (0, 0, 1), (True, 1, 2)):
             shares = [{"service": name, "weight": weight} for name in "ab"]
             found = read_shares(shares, route="r", service="", declared=())
--- a/tests/packets/test_steering.py
+++ b/tests/packets/test_steering.py
@@ -1,4 +1,4 @@
-"""A balancer's decisions on flows without a token."""
+"""Steering decisions on flows without a token."""
 
 import unittest
 from unittest import mock
@@ -49,27 +49,27 @@
 
 
 class NewFlowTests(unittest.TestCase):
-    """SYNs and their copies."""
+    """SYNs and their retransmissions."""
 
     def setUp(self) -> None:
         self.rig = SteeringRig(targets=3)
 
     def test_copy_goes_to_the_same_target(self) -> None:
-        """A SYN's copy is not placed again."""
+        """A retransmitted SYN is not placed again."""
         first = self.rig.names(self.rig.caller(packet(syn=True)))
         self.rig.agent(held(first[0], packet(), is_open=False))
         copies = [self.rig.caller(packet(syn=True), now=100.2 + n) for n in range(3)]
         self.assertEqual([self.rig.names(c) for c in copies], [first] * 3)
 
     def test_turned_away_goes_on_at_once(self) -> None:
-        """A SYN that a target turns away goes to another at once."""
+        """A SYN that an agent rejects is sent to another target at once."""
         first = self.rig.names(self.rig.caller(packet(syn=True)))
         actions = self.rig.agent(turned(first[0], packet(syn=True)), packet(syn=True))
         self.assertNotEqual(self.rig.names(actions), first)
         self.assertEqual(len(self.rig.names(actions)), 1)
 
     def test_turned_away_everywhere(self) -> None:
-        """A SYN that no target takes waits, and is placed when a slot is free."""
+        """A SYN that all targets reject is queued, then placed on a free slot."""
         actions = self.rig.caller(packet(syn=True))
         while self.rig.names(actions):
             name = self.rig.names(actions)[0]
@@ -81,7 +81,7 @@
         self.assertEqual(self.rig.names(self.rig.agent(freed)), ["maps-2"])
 
     def test_copy_of_a_waiting_syn(self) -> None:
-        """A waiting SYN's copy changes nothing."""
+        """A retransmission of a queued SYN changes nothing."""
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
         for seconds in (0.0, 0.2, 0.3):
@@ -89,7 +89,7 @@
             self.assertEqual(self.rig.caller(packet(syn=True), now=now), [])
 
     def test_route_removed_while_it_waits(self) -> None:
-        """A waiting SYN whose route a configuration drops is reset at once."""
+        """A queued SYN whose route is removed is reset at once."""
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
         self.rig.caller(packet(syn=True))
@@ -100,7 +100,7 @@
         self.assertEqual(resets(actions), ["no route"])
 
     def test_refused_before_the_caller_gives_up(self) -> None:
-        """A SYN for which no slot comes free is reset, not kept to the end."""
+        """A queued SYN that gets no slot is reset before its caller gives up."""
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
         self.rig.caller(packet(syn=True))
@@ -124,7 +124,7 @@
         self.assertEqual(len(reasons), 500 - 155)
 
     def test_nobody_refused_while_targets_are_not_known_yet(self) -> None:
-        """After a start of everything the first target known isn't the only one."""
+        """No SYN is rejected until all targets are likely to be known."""
         self.rig.report("maps-1", now=0.5, in_flight=3)
         for n in (2, 3):
             gone = record(f"maps-{n}", host=n, epoch=2, condition=Condition.GONE)
@@ -134,7 +134,7 @@
             self.assertEqual(resets(self.rig.caller(sent, now=0.5)), [])
 
     def test_copy_has_waited_already(self) -> None:
-        """The wait counts from the first SYN, which another balancer may have had."""
+        """The wait counts from the first SYN, even if another balancer got that."""
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
         self.rig.caller(replace(packet(syn=True), waited=0.6))
@@ -143,7 +143,7 @@
         self.assertFalse(self.rig.steering.is_waiting)
 
     def test_refused_copy_is_not_reset(self) -> None:
-        """The first SYN may wait at another balancer, whose caller must not go."""
+        """A rejected retransmission is not reset, as the first SYN may be queued."""
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
         copy = replace(packet(syn=True), waited=0.6)
@@ -152,7 +152,7 @@
         self.assertEqual(resets(actions), [])
 
     def test_no_target_serves(self) -> None:
-        """A settled balancer whose targets all leave refuses at once."""
+        """A converged balancer whose targets all leave rejects SYNs at once."""
         for n in (1, 2, 3):
             leaving = record(f"maps-{n}", host=n, epoch=2, condition=Condition.LEAVING)
             self.rig.learn(leaving)
@@ -160,14 +160,14 @@
         self.assertEqual(reasons, ["no target serves"])
 
     def test_unanswered_goes_elsewhere_before_the_copy(self) -> None:
-        """A SYN without an answer is sent to another target in 100 ms."""
+        """An unanswered SYN is hedged before its caller retransmits it."""
         first = self.rig.names(self.rig.caller(packet(syn=True)))
         actions = self.rig.steering.retry(now=100.1, draw=self.rig.draw)
         self.assertEqual(len(self.rig.names(actions)), 1)
         self.assertNotEqual(self.rig.names(actions), first)
 
     def test_leaving_targets_get_none(self) -> None:
-        """Targets that leave or have ended get no new flow."""
+        """Targets that are leaving or have ended get no new flow."""
         self.rig.learn(record("maps-1", host=1, epoch=2, condition=Condition.LEAVING))
         self.rig.learn(record("maps-2", host=2, epoch=2, condition=Condition.GONE))
         for number in range(20):
@@ -182,7 +182,7 @@
         self.assertEqual(resets(self.rig.caller(other)), ["no route"])
 
     def test_no_targets_known_yet(self) -> None:
-        """A balancer that has just started waits; a settled one resets."""
+        """Without known targets a new balancer waits; a converged one resets."""
         rig = SteeringRig(targets=0)
         self.assertEqual(rig.caller(packet(syn=True), now=0.5), [])
         rig.steering.retry(now=2.0, draw=rig.draw)
@@ -190,13 +190,13 @@
 
 
 class UnknownFlowTests(unittest.TestCase):
-    """Packets of flows that this balancer has not seen."""
+    """Packets of flows that are not in the balancer's flow table."""
 
     def setUp(self) -> None:
         self.rig = SteeringRig(targets=3)
 
     def test_asks_all_and_remembers_the_holder(self) -> None:
-        """All agents of the service are asked; later packets go to the holder."""
+        """All agents of the service are queried; later packets go to the owner."""
         actions = self.rig.caller(packet())
         self.assertEqual(self.rig.names(actions), ["maps-1", "maps-2", "maps-3"])
         self.rig.agent(held("maps-2", packet()))
@@ -207,7 +207,7 @@
         return self.rig.agent(frame, now=now)
 
     def test_question_is_answered_for_many_flows(self) -> None:
-        """One answer settles what is held; the others need all agents' word."""
+        """One reply confirms owned flows; the others need replies of all agents."""
         self.rig.caller(packet(1), now=SETTLED)
         for number in (2, 3):
             self.assertEqual(self.rig.caller(packet(number), now=100.001), [])
@@ -223,14 +223,14 @@
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
     def test_answer_to_the_last_run(self) -> None:
-        """An agent that wakes up may answer a balancer that has restarted since."""
+        """A reply to a query from before a restart is ignored."""
         rig = SteeringRig(targets=1, started_at=50.0)
         rig.caller(packet())
         old = Holds(question=1, agent="maps-1", held=(), is_sure=True)
         self.assertEqual(rig.agent(old), [])
 
     def test_agent_that_cannot_know(self) -> None:
-        """An agent that can't know gets the packet itself; its word is awaited."""
+        """An agent with an inconclusive reply gets the probe."""
         self.rig.caller(packet(size=10))
         for name in ("maps-2", "maps-3"):
             self.assertEqual(self._answers(name=name), [])
@@ -240,7 +240,7 @@
         self.assertEqual(self.rig.agent(held("maps-1", packet())), [])
 
     def test_tried_once_in_a_while(self) -> None:
-        """An agent that is asked again isn't sent the packet again at once."""
+        """An agent that is queried again is not probed again at once."""
         self.rig.caller(packet(size=10))
         self.assertEqual(self.rig.names(self._answers(sure=False)), ["maps-1"])
         self.rig.caller(packet(size=10), now=100.2)
@@ -249,7 +249,7 @@
         self.assertEqual(self.rig.names(later), ["maps-1"])
 
     def test_many_agents_that_cannot_know(self) -> None:
-        """Past the first two a packet goes to one agent, which passes it on."""
+        """After the first two probes one agent relays the probe to the others."""
         rig = SteeringRig(targets=8)
         rig.caller(packet(size=10))
         actions: list = []
@@ -266,7 +266,7 @@
         self.assertEqual(rig.steering.retry(now=100.04, draw=rig.draw), [])
 
     def test_more_agents_than_a_frame_names(self) -> None:
-        """Every agent is reached, and no frame is larger than what is accepted."""
+        """All agents are probed, and no frame names more than the limit."""
         rig = SteeringRig(targets=60)
         rig.caller(replace(packet(), raw=bytes(1_231)))
         for number in range(1, 61):
@@ -283,14 +283,14 @@
             self.assertLessEqual(len(codec.encode(action.frame)), MAX_FRAME_BYTES)
 
     def test_smallest_packet_is_tried(self) -> None:
-        """The smallest packet that a holder must answer goes to all agents."""
+        """The probe is the smallest packet that an owner must answer."""
         for size in (0, 1_000, 10, 900):
             self.rig.caller(packet(size=size))
         actions = self._answers(sure=False)
         self.assertEqual(len(actions[0].frame.payload), 12 + 10)
 
     def test_reset_when_all_deny(self) -> None:
-        """The caller is reset when, and only when, every agent has denied."""
+        """The caller is reset if, and only if, all agents have denied the flow."""
         self.rig.caller(packet())
         for name in ("maps-1", "maps-2"):
             self.assertEqual(self.rig.agent(denied(name, packet()), packet()), [])
@@ -298,7 +298,7 @@
         self.assertEqual(resets(last), ["nobody holds the flow"])
 
     def test_no_reset_while_one_is_silent(self) -> None:
-        """A target that can't be reached may hold the flow."""
+        """No flow is reset while one agent doesn't reply."""
         for n in range(50):
             now = SETTLED + n / 10
             actions = self.rig.caller(packet(), now=now)
@@ -308,18 +308,18 @@
 
     def _deny_all(self, *, now: float) -> list:
         actions = self.rig.caller(packet(), now=now)
-        # Where there is a peer it is asked first, and doesn't answer.
+        # With a peer the directory is queried first, which doesn't reply.
         actions += self.rig.steering.retry(now=now + 0.04, draw=self.rig.draw)
         for name in ("maps-1", "maps-2", "maps-3"):
             actions += self.rig.agent(denied(name, packet()), packet(), now=now)
         return resets(actions)
 
     def test_no_reset_before_all_may_be_known(self) -> None:
-        """A balancer that has just started doesn't know who else there is."""
+        """A new balancer doesn't reset a flow, as it may not know all agents."""
         self.assertEqual(self._deny_all(now=3.0), [])
 
     def test_reset_soon_after_agreeing_with_a_peer(self) -> None:
-        """One that knows what its peers know needn't wait that long."""
+        """Agreement with a peer shortens the wait for unknown agents."""
         self.rig.membership.has_agreed = True
         self.assertEqual(self._deny_all(now=0.5), [])
         self.assertEqual(self.rig.steering.retry(now=0.9, draw=self.rig.draw), [])
@@ -327,7 +327,7 @@
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
     def _hear(self, peer: Membership, *, now: float) -> list:
-        """Let a peer's gossip arrive."""
+        """Deliver a peer's gossip."""
         sent = peer.greeting(OWN.endpoint, now=now, draw=self.rig.draw)
         sender = peer.peers.own.endpoint
         return self.rig.membership.from_process(
@@ -342,22 +342,18 @@
         return peer
 
     def test_two_that_know_little_agree(self) -> None:
-        """Two balancers that were added together don't take each other for settled.
-
-        Found on a play with lossy links: both knew one target of 15, agreed, and
-        reset flows that were open at others.
-        """
+        """Two new balancers don't take each other for converged."""
         self._hear(self._peer(targets=3, started_at=0.1), now=0.3)
         self.assertEqual(self._deny_all(now=1.2), [])
         self.assertEqual(self.rig.steering.retry(now=3.9, draw=self.rig.draw), [])
 
     def test_a_settled_peer_agrees(self) -> None:
-        """The word of one that has been there for longer is enough."""
+        """Agreement with a converged peer is enough."""
         self._hear(self._peer(targets=3, started_at=-9.0), now=0.3)
         self.assertEqual(self._deny_all(now=1.2), ["nobody holds the flow"])
 
     def test_table_of_a_settled_peer_is_fetched_at_once(self) -> None:
-        """A new balancer that knows a few targets doesn't wait for a second round."""
+        """A new balancer fetches a converged peer's table at once."""
         for started_at, fetched in ((0.1, 0), (-9.0, 1)):
             with self.subTest(started_at=started_at):
                 self.rig = SteeringRig(targets=1)
@@ -369,22 +365,18 @@
                 self.assertFalse(self.rig.membership.has_agreed)
 
     def test_no_reset_without_configuration(self) -> None:
-        """A balancer without a configuration can't tell what has no route."""
+        """A balancer without a configuration resets no flow."""
         rig = SteeringRig(version=0)
         for syn in (False, True):
             self.assertEqual(resets(rig.caller(packet(syn=syn))), [])
 
     def test_no_reset_of_open_flows_by_an_older_configuration(self) -> None:
-        """A flow may be open on a route that this balancer hasn't heard of."""
+        """A flow may be open on a route that this balancer has not received yet."""
         sent = packet(address=OTHER_ADDRESS)
         self.assertEqual(resets(self.rig.caller(sent)), [])
 
     def test_no_reset_soon_after_agents_were_killed_too(self) -> None:
-        """An agent that isn't back yet may stand beside a living target.
-
-        Found by the soak, seed 376882: everything was killed, and one agent came
-        back three seconds after the others; its target's flows had been reset.
-        """
+        """Flows are not reset while the agent of a running target may be restarting."""
         self.rig.membership.has_agreed = True
         self.rig.caller(packet(size=10), now=0.9)
         self._answers(sure=False, now=1.0)
@@ -398,7 +390,7 @@
         self.assertEqual(resets(late), ["nobody holds the flow"])
 
     def test_many_early_denials_cost_little(self) -> None:
-        """What is known of a service is worked out once for all of its flows."""
+        """Early denials are rechecked once per service, not once per flow."""
         for number in range(1, 200):
             self.rig.caller(packet(number), now=0.5 + number / 1000)
             for name in ("maps-1", "maps-2", "maps-3"):
@@ -415,11 +407,7 @@
         self.assertEqual(len(resets(late)), 199)
 
     def test_agents_that_were_not_sure_at_first(self) -> None:
-        """Word that all targets began anew ends the wait for others.
-
-        Found on the bench: after a loss of power everywhere, agents that answered
-        before their targets' first heartbeat kept callers waiting for 4 s.
-        """
+        """Reports that all targets have just started end the wait for other agents."""
         self.rig.membership.has_agreed = True
         self.rig.caller(packet(size=10), now=0.1)
         self._answers(sure=False, now=0.1)
@@ -435,7 +423,7 @@
         self.assertEqual(resets(actions), ["nobody holds the flow"] * 2)
 
     def _asked_in(self, rig: SteeringRig, *, since: float, until: float) -> list:
-        """Return who is asked when, as the balancer's own clock has it."""
+        """Return which agents the balancer queries by itself, and when."""
         asked = []
         for step in range(round((until - since) * 100)):
             now = since + step / 100
@@ -445,11 +433,7 @@
         return asked
 
     def test_lost_answer_is_asked_for_again(self) -> None:
-        """Who hasn't answered is asked again, though the caller is silent.
-
-        Found on the bench with 147 target VMs: the chance that one answer of all is
-        lost grows with them, and callers sent again ten seconds later.
-        """
+        """An agent that hasn't replied is queried again without a caller's packet."""
         self.rig.caller(packet())
         for name in ("maps-1", "maps-3"):
             self.rig.agent(denied(name, packet()), packet())
@@ -459,7 +443,7 @@
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
     def test_silent_agent_beside_one_that_has_ended(self) -> None:
-        """As many denials as there are agents left are not the denials of all."""
+        """The denial of an agent that has ended doesn't stand in for a missing one."""
         self.rig.caller(packet())
         for name in ("maps-1", "maps-3"):
             self.rig.agent(denied(name, packet()), packet())
@@ -470,7 +454,7 @@
         self.assertEqual(resets(actions), [])
 
     def test_agent_that_becomes_known_is_asked(self) -> None:
-        """After a loss of power agents are known one by one; none is forgotten."""
+        """Agents that become known during a lookup are queried too."""
         self.rig.caller(packet())
         for name in ("maps-1", "maps-2", "maps-3"):
             if name == "maps-3":
@@ -481,7 +465,7 @@
         self.assertEqual([name for _, name in asked], ["maps-4"])
 
     def test_silent_agent_is_asked_a_few_times(self) -> None:
-        """One that is frozen costs few questions, and its flow is never reset."""
+        """An agent that doesn't reply is queried a few times; its flow is not reset."""
         self.rig.caller(packet())
         actions = []
         for name in ("maps-1", "maps-3"):
@@ -504,22 +488,18 @@
         return resets(actions)
 
     def test_power_was_lost_everywhere(self) -> None:
-        """Where all targets began with the balancer, dead flows are reset at once."""
+        """If all targets started with the balancer, dead flows are reset at once."""
         rig = SteeringRig(targets=3, started_at=SETTLED)
         answered = self._power_returned(rig, run_ms=300)
         self.assertEqual(answered, ["nobody holds the flow"])
 
     def test_targets_are_older_than_the_balancer(self) -> None:
-        """Among targets that run on, one may not be known yet."""
+        """If targets are older than the balancer, another one may be unknown."""
         rig = SteeringRig(targets=3, started_at=SETTLED)
         self.assertEqual(self._power_returned(rig, run_ms=30_000), [])
 
     def test_doubtful_agents_after_loss_of_power(self) -> None:
-        """No packet is tried on targets that have all just started.
-
-        Found on the bench: a packet of each dead flow went to all 52 targets of a
-        service, over links of 5 Mbit/s.
-        """
+        """No probe is sent if all targets have just started."""
         rig = SteeringRig(targets=3, started_at=SETTLED)
         rig.membership.has_agreed = True
         rig.caller(packet(), now=100.4)
@@ -531,12 +511,7 @@
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
     def test_agent_without_a_target_after_loss_of_power(self) -> None:
-        """A VM whose target has left doesn't keep callers of dead flows waiting.
-
-        Found on svst-recall, trouble-1: three of twelve VMs had lost their targets in
-        a release; their agents started again with the power, and 101 requests waited
-        4 s for an answer that nobody could give.
-        """
+        """An agent without a target doesn't delay resets after a power loss."""
         rig = SteeringRig(targets=3, started_at=SETTLED)
         rig.membership.has_agreed = True
         rig.caller(packet(), now=100.4)
@@ -548,7 +523,7 @@
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
     def _vacant(self, *, then: float, condition: Condition) -> list:
-        """Let one agent say that it finds no target, and end; return later resets."""
+        """Let an agent without a target report so and end; return later resets."""
         rig = SteeringRig(targets=1)
         rig.learn(record("maps-2", host=2, condition=Condition.STARTING))
         rig.caller(packet(1), now=160.0)
@@ -561,22 +536,18 @@
         return resets(rig.agent(replace(sure, question=number), now=then + 0.01))
 
     def test_vacant_agent_that_has_ended(self) -> None:
-        """An agent that found no target and ended keeps nobody waiting.
-
-        Found on svst-recall, trouble-1: VMs whose targets had left were given up three
-        seconds after the power's return, and 31 requests on dead flows timed out.
-        """
+        """An agent that had no target and has ended doesn't delay resets."""
         starting = Condition.STARTING
         self.assertEqual(self._vacant(then=162.0, condition=starting), [])
         later = self._vacant(then=164.0, condition=starting)
         self.assertEqual(later, ["nobody holds the flow"])
 
     def test_target_that_came_to_a_vacant_agent(self) -> None:
-        """A target that has come since may hold the flow."""
+        """A target that has started since may own the flow."""
         self.assertEqual(self._vacant(then=164.0, condition=Condition.SERVING), [])
 
     def test_only_agents_without_a_target(self) -> None:
-        """Where no target tells of its run nothing is known of a loss of power."""
+        """Without a report of a target a power loss is not assumed."""
         rig = SteeringRig(targets=2, started_at=SETTLED)
         rig.membership.has_agreed = True
         rig.caller(packet(), now=100.4)
@@ -588,7 +559,7 @@
         self.assertEqual(resets(actions), [])
 
     def test_power_returns_before_peers_agree(self) -> None:
-        """Without a peer's word an agent that lived on gets time for a heartbeat."""
+        """Without an agreeing peer, running agents get time to send a heartbeat."""
         rig = SteeringRig(targets=3, started_at=SETTLED)
         rig.caller(packet(), now=100.4)
         actions: list = []
@@ -600,7 +571,7 @@
         self.assertEqual(resets(late), ["nobody holds the flow"])
 
     def test_agent_that_starts_late(self) -> None:
-        """While one agent is awaited, the packet isn't tried on young targets."""
+        """While a reply is missing, targets that have just started are not probed."""
         rig = SteeringRig(targets=3, started_at=SETTLED)
         rig.caller(packet(), now=100.4)
         for name in ("maps-1", "maps-2"):
@@ -610,7 +581,7 @@
         self.assertEqual(carried, [])
 
     def test_one_doubtful_agent(self) -> None:
-        """A packet is tried on a young target when all others have denied."""
+        """A target that has just started is probed if all other agents deny."""
         rig = SteeringRig(targets=3, started_at=SETTLED)
         rig.caller(packet(), now=100.4)
         actions = rig.agent(self._unsure("maps-2", run_ms=300), now=100.41)
@@ -628,7 +599,7 @@
         )
 
     def test_targets_younger_than_the_balancer(self) -> None:
-        """An agent killed beside a young target is asked, not taken for empty.
+        """A young target's inconclusive agent is probed, not taken for a denial.
 
         All targets may have been replaced since the balancer started.
         """
@@ -644,7 +615,7 @@
         self.assertEqual(rig.names(actions), ["maps-2"])
 
     def test_doubtful_while_another_is_silent(self) -> None:
-        """A packet isn't held back for ever by an agent that can't be reached."""
+        """A probe isn't held back for ever by an agent that doesn't reply."""
         rig = SteeringRig(targets=2, started_at=SETTLED)
         rig.caller(packet(size=10), now=160.0)
         rig.agent(self._unsure("maps-2", run_ms=900), now=160.01)
@@ -653,15 +624,15 @@
         self.assertEqual(rig.names(carried), ["maps-2"])
 
     def test_power_was_lost_in_one_data_centre(self) -> None:
-        """Until targets of all data centres are known, one may hold the flow."""
+        """No flow is reset until targets of all data centres are known."""
         rig = SteeringRig(targets=3, started_at=SETTLED, data_centres=("dc-1", "dc-2"))
         self.assertEqual(self._power_returned(rig, run_ms=300), [])
 
     def test_few_met_targets_prove_nothing(self) -> None:
-        """While most agents are yet to meet their targets, one may live on.
+        """A few new targets don't prove a power loss while most are not found yet.
 
-        All but one were restarted beside targets that live on; the one that was met
-        first happens to be new.
+        All agents but one were restarted beside running targets; the target that was
+        found first happens to be new.
         """
         for places in (("dc-1",), ("dc-1", "dc-2")):
             with self.subTest(places=places):
@@ -690,25 +661,21 @@
                 self.assertEqual(resets(actions), [])
 
     def test_all_are_tried_without_configuration(self) -> None:
-        """Without configuration an open flow's packet still finds its holder."""
+        """Without a configuration a packet is sent to all agents to find its owner."""
         rig = SteeringRig(version=0, targets=3)
         self.assertEqual(rig.reached(rig.caller(packet())), rig.known_endpoints)
         rig.agent(held("maps-2", packet()))
         self.assertEqual(rig.names(rig.caller(packet())), ["maps-2"])
 
     def test_tries_without_configuration_cost_little(self) -> None:
-        """A packet that may be anybody's leaves a narrow link in few frames.
-
-        After a loss of power 23 balancers without a configuration sent 33,591 frames
-        in two seconds, each packet of a dead flow to each of 77 agents.
-        """
+        """Without a configuration probes are relayed, so that few frames are sent."""
         rig = SteeringRig(version=0, targets=77)
         actions = rig.caller(packet(size=1_000))
         self.assertEqual(rig.reached(actions), rig.known_endpoints)
         self.assertLessEqual(len(actions), 3)
 
     def test_denied_by_the_remembered_holder(self) -> None:
-        """When the remembered holder denies a flow, the others are asked."""
+        """When the known owner denies a flow, the other agents are queried."""
         self.rig.agent(held("maps-2", packet()))
         actions = self.rig.agent(denied("maps-2", packet()), packet())
         self.assertEqual(self.rig.names(actions), ["maps-1", "maps-3"])
@@ -720,7 +687,7 @@
         self.assertEqual(resets(self.rig.caller(packet())), ["target gone"])
 
     def test_thought_holder_has_ended(self) -> None:
-        """A target that only a SYN went to is no reason for a reset when it ends."""
+        """A flow is not reset when a target ends that only got its SYN."""
         placed = self.rig.names(self.rig.caller(packet(syn=True)))
         number = int(placed[0][-1])
         gone = record(placed[0], host=number, epoch=2, condition=Condition.GONE)
@@ -731,7 +698,7 @@
         self.assertEqual(self.rig.names(actions), others)
 
     def test_copy_opened_elsewhere(self) -> None:
-        """A SYN's copy placed by another balancer doesn't move an open flow."""
+        """A retransmission placed by another balancer doesn't move an open flow."""
         placed = self.rig.names(self.rig.caller(packet(syn=True)))
         sent = packet(size=10)
         self.assertEqual(self.rig.names(self.rig.caller(sent)), placed)
@@ -744,14 +711,14 @@
     """An address that now belongs to another target."""
 
     def test_two_records_of_one_start(self) -> None:
-        """Two targets that claim one address end in one, whatever their epochs."""
+        """Of two targets that claim one address one remains, whatever their epochs."""
         for epoch in (1, 2, 3):
             rig = SteeringRig(targets=1)
             rig.learn(record("maps-9", host=1, epoch=epoch))
             self.assertEqual(rig.membership.table.names_of("maps"), {"maps-9"})
 
     def test_earlier_target_has_ended(self) -> None:
-        """The newer record at an address ends the earlier one's target."""
+        """A newer record at an address ends the earlier one's target."""
         rig = SteeringRig(targets=2)
         rig.agent(held("maps-2", packet()))
         rig.learn(record("logs-9", host=2, epoch=5, service="logs"))
--- a/tests/packets/test_store_return.py
+++ b/tests/packets/test_store_return.py
@@ -1,4 +1,4 @@
-"""A drill on loopback: the store comes back from a copy some seconds old."""
+"""Restore of the store from a backup, on loopback."""
 
 import asyncio
 import unittest
@@ -12,7 +12,7 @@
 
 
 class DrillTests(unittest.IsolatedAsyncioTestCase):
-    """Two data centres under load while the store loses its last seconds."""
+    """Two data centres under load while the store is restored from a backup."""
 
     async def asyncSetUp(self) -> None:
         deployment = PacketDeployment(net="127.84.21", seed=3, zones=("dc-1", "dc-2"))
@@ -41,17 +41,17 @@
         return REGISTERED & set(found)
 
     async def _come_back(self) -> None:
-        """Be away for a moment, come back, and hear the operator's last words."""
+        """Take the store down and restore it from the backup."""
         self.store.faults.is_down = True
         await asyncio.sleep(0.5)
         self.store.store.restore(self.copy)
         self.store.faults.is_down = False
 
     async def test_drill(self) -> None:
-        """Registrations are back, orders hold, and no configuration goes back."""
+        """Registrations return, orders stay in force, no configuration is reverted."""
         load = PacketLoad(deployment=self.deployment, seed=5)
         load.start(readers=6, writers=3, uploaders=1)
-        # Numbers that the store will take long to reach again.
+        # Revisions that the restored store reaches only much later.
         for _ in range(200):
             self.store.put("op/other", b"{}")
         version = self.deployment.configure()
@@ -60,7 +60,7 @@
         await self._come_back()
         await asyncio.sleep(2.0)
         self.assertEqual(self._registered(), REGISTERED)
-        self.assertEqual(await self._opened(1.0), 0)  # the order isn't back yet
+        self.assertEqual(await self._opened(1.0), 0)  # before the order is given again
         self.store.put("op/evacuate/dc-2", b"{}")
         self.assertEqual(await self._opened(4.0), 0)
         self.store.remove("op/evacuate/dc-2")
--- a/tests/packets/test_verdicts.py
+++ b/tests/packets/test_verdicts.py
@@ -1,4 +1,4 @@
-"""Dead flows after a loss of power everywhere, at the size of large deployments."""
+"""Dead flows after a power loss everywhere, with many targets."""
 
 import heapq
 import itertools
@@ -11,23 +11,23 @@
 from tests.packets.rig import SteeringRig, packet, record
 
 BACK = 1_000.0  # the balancer's start, in seconds
-AGENTS_UP = (0.05, 0.55)  # after it, one by one
+AGENTS_UP = (0.05, 0.55)  # after the balancer's start
 WAY = 0.003
 RETRY = 0.02
-SENT_AGAIN = (0.2, 0.6, 1.4, 3.0)  # by a caller that gets no acknowledgement
+SENT_AGAIN = (0.2, 0.6, 1.4, 3.0)  # retransmissions of a caller
 FLOWS = 60
 PATIENCE = 4.0
 
 
 class Outage:
-    """One balancer, the agents of a service, and callers of flows that are dead.
+    """One balancer, the agents of a service, and callers of dead flows.
 
     Args:
-        targets: How many agents the service has.
-        lost: The share of questions and answers that get lost.
-        silent: Names of agents that never answer.
-        vacant: How many more agents start without a target, and say so unasked.
-        vanished: How many more start and are given up before they say anything.
+        targets: How many agents have a target.
+        lost: Share of queries and replies that are lost.
+        silent: Names of agents that never reply.
+        vacant: How many more agents start without a target and report it.
+        vanished: How many more agents start without a target and end unheard.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
             after = self.draw.uniform(*AGENTS_UP)
             self._after(after, self._empty_up, number, is_absent)
         for number in range(1, FLOWS + 1):
-            # They sent last while the power was off, or send first after it.
+            # Callers send before or after the power returns.
             began = self.draw.uniform(-1.5, 0.8)
             for again in (0.0, *SENT_AGAIN):
                 if began + again > 0.3:
@@ -64,7 +64,7 @@
         self._after(RETRY, self._retry)
 
     def play(self) -> None:
-        """Play until every caller has lost its patience."""
+        """Run until every caller has given up."""
         while self._events:
             self.now, _, call, arguments = heapq.heappop(self._events)
             call(*arguments)
@@ -75,14 +75,14 @@
 
     def _agent_up(self, number: int) -> None:
         name = f"maps-{number}"
-        # Half of them see their target's first heartbeat a moment later.
+        # Half of them have not received a heartbeat of their target yet.
         condition = Condition.SERVING if number % 2 else Condition.STARTING
         ip = f"10.2.{number // 250}.{number % 250}"
         target = record(name, ip=ip, data_centre="dc-1", condition=condition)
         self.rig.membership.table.learn(target, now=self.now)
 
     def _empty_up(self, number: int, is_absent: bool) -> None:
-        """An agent starts where no target is left; it is given up a moment later."""
+        """Start an agent without a target."""
         name = f"maps-{number}"
         self.silent |= {name}
         ip = f"10.2.{number // 250}.{number % 250}"
@@ -135,14 +135,10 @@
 
 
 class VerdictTests(unittest.TestCase):
-    """What callers of dead flows are told, and when."""
+    """Resets of dead flows after a power loss, and their delays."""
 
     def test_all_are_told_soon(self) -> None:
-        """At 109 and at 300 targets, one in twenty messages lost: within a second.
-
-        With questions repeated only when callers send, 41 and 36 of the 60 were told
-        before they gave up.
-        """
+        """All dead flows are reset within a second, though messages are lost."""
         for targets in (109, 300):
             with self.subTest(targets=targets):
                 outage = Outage(targets=targets, lost=0.05)
@@ -153,22 +149,18 @@
                 self.assertLess(told[-1], 1.0)
 
     def test_vms_without_a_target(self) -> None:
-        """VMs whose targets have left keep nobody waiting, answered or not.
-
-        Of 79 target VMs that started again 21 had no target and were given up before
-        anybody asked; 1,300 callers of dead flows got no verdict until their deadline.
-        """
+        """Agents without a target don't delay the resets."""
         for vacant, vanished, most in ((20, 0, 1.0), (0, 5, 1.0), (15, 5, 1.0)):
             with self.subTest(vacant=vacant, vanished=vanished):
                 outage = Outage(targets=46, lost=0.05, vacant=vacant, vanished=vanished)
                 outage.play()
                 self.assertEqual(len(outage.told_after), FLOWS)
                 self.assertLess(max(outage.told_after), most)
-                # Most don't wait for the last agents: 1.2 s in the mean if they did.
+                # Most resets don't wait for the last agents.
                 self.assertLess(sum(outage.told_after) / FLOWS, 0.5)
 
     def test_mostly_vms_without_a_target(self) -> None:
-        """Where most VMs have lost their targets it takes until they had time."""
+        """If most agents have no target, resets wait until one could be found."""
         for vacant, vanished in ((14, 0), (0, 14)):
             with self.subTest(vacant=vacant, vanished=vanished):
                 outage = Outage(targets=9, lost=0.05, vacant=vacant, vanished=vanished)
@@ -177,18 +169,14 @@
                 self.assertLess(max(outage.told_after), 2.0)
 
     def test_questions_a_flow(self) -> None:
-        """At 300 targets a dead flow costs few questions, and no answer much time.
-
-        A balancer of sixty has 83 of 5,000 dead flows; each agent is asked for all
-        of them a few times, not for each.
-        """
+        """Queries are batched: an agent gets fewer than one for two dead flows."""
         outage = Outage(targets=300, lost=0.05, vacant=30)
         outage.play()
         self.assertEqual(len(outage.told_after), FLOWS)
         self.assertLess(outage.questions / (330 * FLOWS), 0.5)
 
     def test_one_silent_agent(self) -> None:
-        """While one of 109 is silent its target may hold any flow: none is reset."""
+        """No flow is reset while one agent doesn't reply, as it may own the flow."""
         outage = Outage(targets=109, lost=0.0, silent=frozenset({"maps-7"}))
         outage.play()
         self.assertEqual(outage.told_after, [])
