--- a/monsoonpier/balancer/packets/inquiries.py
+++ b/monsoonpier/balancer/packets/inquiries.py
@@ -20,7 +20,7 @@
 
 __all__ = ["OwnerResolver"]
 
-DIRECTORY_TIMEOUT_SECONDS = 0.03  # then the agents are asked
+DIRECTORY_TIMEOUT_SECONDS = 0.03  # then the agents are queried
 REQUERY_SECONDS = 0.1  # least time between queries that a caller's packets trigger
 # First delay of a repeated query, doubled each time. The balancer repeats queries
 # itself: messages get lost, callers back off, and after a power loss agents become
--- a/monsoonpier/balancer/packets/placement.py
+++ b/monsoonpier/balancer/packets/placement.py
@@ -26,7 +26,7 @@
 BUSY_WEIGHT = 0.5  # cost of all slots being taken, in service times
 FLOW_WEIGHT = 1.0  # cost of an average number of open flows, for a long flow
 FAILURE_WEIGHT = 8.0  # cost if all requests fail, in service times
-FAILING_PERCENT = 25  # of requests that fail; from there on a target is left out
+FAILING_PERCENT = 25  # of requests that fail; from there on a target is excluded
 MAX_EXCLUDED_SHARE = 0.25  # the other targets must carry the load
 # Round trip to another data centre: one for the handshake and one for each window.
 REMOTE_SECONDS = 0.001
--- a/monsoonpier/balancer/packets/reservations.py
+++ b/monsoonpier/balancer/packets/reservations.py
@@ -144,11 +144,11 @@
             service, now=now, run_seconds=fast_service_seconds(candidates)
         )
         # The flow is served after the request in progress there.
-        runs = MARGIN_RUNS + QUEUE_AHEAD / record.slots
+        service_times = MARGIN_RUNS + QUEUE_AHEAD / record.slots
         return self._queues.pop_for(
             service,
             is_late_turn=offer.is_late_turn,
-            answered_at=now + runs * offer.load.service_ms / 1000,
+            answered_at=now + service_times * offer.load.service_ms / 1000,
         )
 
     def decline(self, offer: Offer) -> list[ToAgent]:
--- a/monsoonpier/balancer/packets/returning.py
+++ b/monsoonpier/balancer/packets/returning.py
@@ -54,7 +54,7 @@
 
         Args:
             packet: A packet of the flow, which names caller and service address.
-            asked_at: When the caller made its first attempt, as far as is known.
+            asked_at: When the caller made its first attempt, if known.
             now: The current time.
         """
         earlier = EarlierAttempt(asked_at=asked_at)
--- a/monsoonpier/balancer/packets/runs.py
+++ b/monsoonpier/balancer/packets/runs.py
@@ -63,14 +63,14 @@
         return now - since >= ABSENT_SECONDS
 
     def any_older_than_agent(self, names: Iterable[str]) -> bool:
-        """Return whether an agent has started after its target."""
+        """Return whether any of these targets is older than its agent."""
         started_at_by_name = self._started_at_by_name
         return any(started_at_by_name.get(name, 0.0) is None for name in names)
 
     def any_started_before(
         self, names: Iterable[str], *, balancer_started_at: float
     ) -> bool:
-        """Return whether a target is known to be older than the balancer."""
+        """Return whether any of these targets is older than the balancer."""
         earliest = balancer_started_at - SAME_OUTAGE_SECONDS
         known_names = [n for n in names if n in self._started_at_by_name]
         started_at = [self._started_at_by_name[name] for name in known_names]
--- a/monsoonpier/balancer/packets/steering.py
+++ b/monsoonpier/balancer/packets/steering.py
@@ -128,7 +128,7 @@
         return self._new_flows.retry(now=now, draw=draw) + self._resolver.retry(now=now)
 
     def _log_waits(self, *, now: float) -> None:
-        """Log the classes with queued or rejected flows."""
+        """Log a line for each class with queued or rejected flows."""
         # Only services with queued flows: going through all targets takes too long.
         flows_by_service = self._new_flows.waiting_by_service
         services = [name for name, flows in flows_by_service.items() if flows]
--- a/monsoonpier/balancer/packets/tries.py
+++ b/monsoonpier/balancer/packets/tries.py
@@ -84,10 +84,10 @@
         return [
             action
             for group in groups
-            for action in self._probe_via(packet, group, service=service)
+            for action in self._relay_via(packet, group, service=service)
         ]
 
-    def _probe_via(
+    def _relay_via(
         self, packet: Packet, names: list[str], *, service: str
     ) -> list[ToAgent]:
         """Return the frame that has one agent relay a packet to the others."""
--- a/tests/packets/test_shares.py
+++ b/tests/packets/test_shares.py
@@ -169,8 +169,8 @@
         for number, name in itertools.product(
             questions, ("maps-1", "maps-2", "logs-3", "logs-4")
         ):
-            word = Holds(question=number, agent=name, held=(), is_sure=False)
-            actions += rig.agent(word)
+            reply = Holds(question=number, agent=name, held=(), is_sure=False)
+            actions += rig.agent(reply)
         actions += rig.steering.retry(now=SETTLED + 0.02, draw=rig.draw)
         brought = {(a.endpoint[0], a.frame.service) for a in actions}
         self.assertEqual({type(a.frame) for a in actions}, {Carry, PassOn})
--- a/tests/packets/test_steering.py
+++ b/tests/packets/test_steering.py
@@ -254,10 +254,10 @@
         rig.caller(packet(size=10))
         actions: list = []
         for number in range(1, 9):
-            word = Holds(
+            reply = Holds(
                 question=1, agent=f"maps-{number}", held=(), is_sure=False, run_ms=None
             )
-            actions += rig.agent(word)
+            actions += rig.agent(reply)
         self.assertEqual(rig.names(actions), ["maps-1", "maps-2"])
         collected = rig.steering.retry(now=100.02, draw=rig.draw)
         self.assertEqual([type(a.frame) for a in collected], [PassOn])
@@ -270,10 +270,10 @@
         rig = SteeringRig(targets=60)
         rig.caller(replace(packet(), raw=bytes(1_231)))
         for number in range(1, 61):
-            word = Holds(
+            reply = Holds(
                 question=1, agent=f"maps-{number}", held=(), is_sure=False, run_ms=None
             )
-            rig.agent(word)
+            rig.agent(reply)
         collected = rig.steering.retry(now=100.02, draw=rig.draw)
         reached = {a.endpoint for a in collected}
         reached.update(place for a in collected for place in a.frame.endpoints)
@@ -326,7 +326,7 @@
         actions = self.rig.steering.retry(now=1.1, draw=self.rig.draw)
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
-    def _hear(self, peer: Membership, *, now: float) -> list:
+    def _deliver_gossip(self, peer: Membership, *, now: float) -> list:
         """Deliver a peer's gossip."""
         sent = peer.greeting(OWN.endpoint, now=now, draw=self.rig.draw)
         sender = peer.peers.own.endpoint
@@ -343,13 +343,13 @@
 
     def test_two_that_know_little_agree(self) -> None:
         """Two new balancers don't take each other for converged."""
-        self._hear(self._peer(targets=3, started_at=0.1), now=0.3)
+        self._deliver_gossip(self._peer(targets=3, started_at=0.1), now=0.3)
         self.assertEqual(self._deny_all(now=1.2), [])
         self.assertEqual(self.rig.steering.retry(now=3.9, draw=self.rig.draw), [])
 
     def test_a_settled_peer_agrees(self) -> None:
         """Agreement with a converged peer is enough."""
-        self._hear(self._peer(targets=3, started_at=-9.0), now=0.3)
+        self._deliver_gossip(self._peer(targets=3, started_at=-9.0), now=0.3)
         self.assertEqual(self._deny_all(now=1.2), ["nobody holds the flow"])
 
     def test_table_of_a_settled_peer_is_fetched_at_once(self) -> None:
@@ -357,7 +357,7 @@
         for started_at, fetched in ((0.1, 0), (-9.0, 1)):
             with self.subTest(started_at=started_at):
                 self.rig = SteeringRig(targets=1)
-                actions = self._hear(
+                actions = self._deliver_gossip(
                     self._peer(targets=3, started_at=started_at), now=0.3
                 )
                 found = sum(isinstance(a, FetchTable) for a in actions)
@@ -416,13 +416,13 @@
             self.rig.agent(denied(name, sent), sent, now=0.2)
         self.rig.caller(packet(9), now=0.25)
         for name in ("maps-1", "maps-2", "maps-3"):
-            word = Holds(question=2, agent=name, held=(), is_sure=True, run_ms=200)
-            self.rig.agent(word, now=0.26)
+            reply = Holds(question=2, agent=name, held=(), is_sure=True, run_ms=200)
+            self.rig.agent(reply, now=0.26)
         self.assertEqual(self.rig.steering.retry(now=0.28, draw=self.rig.draw), [])
         actions = self.rig.steering.retry(now=0.39, draw=self.rig.draw)
         self.assertEqual(resets(actions), ["nobody holds the flow"] * 2)
 
-    def _asked_in(self, rig: SteeringRig, *, since: float, until: float) -> list:
+    def _queries_in(self, rig: SteeringRig, *, since: float, until: float) -> list:
         """Return which agents the balancer queries by itself, and when."""
         asked = []
         for step in range(round((until - since) * 100)):
@@ -437,7 +437,7 @@
         self.rig.caller(packet())
         for name in ("maps-1", "maps-3"):
             self.rig.agent(denied(name, packet()), packet())
-        asked = self._asked_in(self.rig, since=SETTLED, until=SETTLED + 0.25)
+        asked = self._queries_in(self.rig, since=SETTLED, until=SETTLED + 0.25)
         self.assertEqual([name for _, name in asked], ["maps-2"])
         actions = self.rig.agent(denied("maps-2", packet()), packet(), now=100.51)
         self.assertEqual(resets(actions), ["nobody holds the flow"])
@@ -461,7 +461,7 @@
                 self.rig.learn(record("maps-4", host=4))
             actions = self.rig.agent(denied(name, packet()), packet())
             self.assertEqual(resets(actions), [])
-        asked = self._asked_in(self.rig, since=SETTLED, until=SETTLED + 0.25)
+        asked = self._queries_in(self.rig, since=SETTLED, until=SETTLED + 0.25)
         self.assertEqual([name for _, name in asked], ["maps-4"])
 
     def test_silent_agent_is_asked_a_few_times(self) -> None:
@@ -470,7 +470,7 @@
         actions = []
         for name in ("maps-1", "maps-3"):
             actions += self.rig.agent(denied(name, packet()), packet())
-        asked = self._asked_in(self.rig, since=SETTLED, until=SETTLED + 30)
+        asked = self._queries_in(self.rig, since=SETTLED, until=SETTLED + 30)
         self.assertEqual({name for _, name in asked}, {"maps-2"})
         self.assertEqual(len(asked), 5)
         self.assertFalse(self.rig.steering.is_waiting)
@@ -481,10 +481,10 @@
         rig.caller(packet(), now=100.4)
         actions: list = []
         for name in ("maps-1", "maps-2", "maps-3"):
-            word = Holds(
+            reply = Holds(
                 question=100_000_001, agent=name, held=(), is_sure=True, run_ms=run_ms
             )
-            actions += rig.agent(word, now=100.41)
+            actions += rig.agent(reply, now=100.41)
         return resets(actions)
 
     def test_power_was_lost_everywhere(self) -> None:
@@ -505,8 +505,8 @@
         rig.caller(packet(), now=100.4)
         actions: list = []
         for name in ("maps-1", "maps-2", "maps-3"):
-            word = self._unsure(name, run_ms=300)
-            actions += rig.agent(word, now=100.41)
+            reply = self._inconclusive_reply(name, run_ms=300)
+            actions += rig.agent(reply, now=100.41)
         self.assertEqual(rig.names(actions), [])
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
@@ -517,8 +517,10 @@
         rig.caller(packet(), now=100.4)
         actions: list = []
         for name in ("maps-1", "maps-2"):
-            actions += rig.agent(self._unsure(name, run_ms=300), now=100.41)
-        absent = replace(self._unsure("maps-3", run_ms=None), is_absent=True)
+            actions += rig.agent(self._inconclusive_reply(name, run_ms=300), now=100.41)
+        absent = replace(
+            self._inconclusive_reply("maps-3", run_ms=None), is_absent=True
+        )
         actions += rig.agent(absent, now=100.41)
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
@@ -527,8 +529,8 @@
         rig = SteeringRig(targets=1)
         rig.learn(record("maps-2", host=2, condition=Condition.STARTING))
         rig.caller(packet(1), now=160.0)
-        word = replace(self._unsure("maps-2", run_ms=None), is_absent=True)
-        rig.agent(word, now=160.01)
+        reply = replace(self._inconclusive_reply("maps-2", run_ms=None), is_absent=True)
+        rig.agent(reply, now=160.01)
         rig.learn(record("maps-2", host=2, change=1, condition=condition), now=160.1)
         rig.caller(packet(2), now=then)
         sure = Holds(question=0, agent="maps-1", held=(), is_sure=True)
@@ -553,7 +555,9 @@
         rig.caller(packet(), now=100.4)
         actions: list = []
         for name in ("maps-1", "maps-2"):
-            absent = replace(self._unsure(name, run_ms=None), is_absent=True)
+            absent = replace(
+                self._inconclusive_reply(name, run_ms=None), is_absent=True
+            )
             actions += rig.agent(absent, now=100.41)
         actions += rig.steering.retry(now=101.5, draw=rig.draw)
         self.assertEqual(resets(actions), [])
@@ -564,7 +568,7 @@
         rig.caller(packet(), now=100.4)
         actions: list = []
         for name in ("maps-1", "maps-2", "maps-3"):
-            actions += rig.agent(self._unsure(name, run_ms=300), now=100.41)
+            actions += rig.agent(self._inconclusive_reply(name, run_ms=300), now=100.41)
         actions += rig.steering.retry(now=101.1, draw=rig.draw)
         self.assertEqual(resets(actions), [])
         late = rig.steering.retry(now=101.21, draw=rig.draw)
@@ -575,7 +579,7 @@
         rig = SteeringRig(targets=3, started_at=SETTLED)
         rig.caller(packet(), now=100.4)
         for name in ("maps-1", "maps-2"):
-            rig.agent(self._unsure(name, run_ms=300), now=100.41)
+            rig.agent(self._inconclusive_reply(name, run_ms=300), now=100.41)
         actions = rig.caller(packet(), now=100.6)
         carried = [a for a in actions if isinstance(a.frame, Carry)]
         self.assertEqual(carried, [])
@@ -584,16 +588,16 @@
         """A target that has just started is probed if all other agents deny."""
         rig = SteeringRig(targets=3, started_at=SETTLED)
         rig.caller(packet(), now=100.4)
-        actions = rig.agent(self._unsure("maps-2", run_ms=300), now=100.41)
+        actions = rig.agent(self._inconclusive_reply("maps-2", run_ms=300), now=100.41)
         self.assertEqual(rig.names(actions), [])
         for name in ("maps-1", "maps-3"):
-            word = Holds(
+            reply = Holds(
                 question=100_000_001, agent=name, held=(), is_sure=True, run_ms=30_000
             )
-            actions = rig.agent(word, now=100.42)
+            actions = rig.agent(reply, now=100.42)
         self.assertEqual(rig.names(actions), ["maps-2"])
 
-    def _unsure(self, name: str, *, run_ms: int) -> Holds:
+    def _inconclusive_reply(self, name: str, *, run_ms: int) -> Holds:
         return Holds(
             question=100_000_001, agent=name, held=(), is_sure=False, run_ms=run_ms
         )
@@ -606,11 +610,11 @@
         rig = SteeringRig(targets=2, started_at=SETTLED)
         rig.membership.has_agreed = True
         rig.caller(packet(size=10), now=160.0)
-        word = Holds(
+        reply = Holds(
             question=100_000_001, agent="maps-1", held=(), is_sure=True, run_ms=9_000
         )
-        actions = rig.agent(word, now=160.01)
-        actions += rig.agent(self._unsure("maps-2", run_ms=900), now=160.01)
+        actions = rig.agent(reply, now=160.01)
+        actions += rig.agent(self._inconclusive_reply("maps-2", run_ms=900), now=160.01)
         self.assertEqual(resets(actions), [])
         self.assertEqual(rig.names(actions), ["maps-2"])
 
@@ -618,7 +622,7 @@
         """A probe isn't held back for ever by an agent that doesn't reply."""
         rig = SteeringRig(targets=2, started_at=SETTLED)
         rig.caller(packet(size=10), now=160.0)
-        rig.agent(self._unsure("maps-2", run_ms=900), now=160.01)
+        rig.agent(self._inconclusive_reply("maps-2", run_ms=900), now=160.01)
         actions = rig.caller(packet(size=10), now=160.2)
         carried = [a for a in actions if isinstance(a.frame, Carry)]
         self.assertEqual(rig.names(carried), ["maps-2"])
@@ -656,7 +660,9 @@
                 rig.caller(packet(), now=100.4)
                 actions: list = []
                 for name in sorted(met):
-                    actions += rig.agent(self._unsure(name, run_ms=300), now=100.41)
+                    actions += rig.agent(
+                        self._inconclusive_reply(name, run_ms=300), now=100.41
+                    )
                 actions += rig.steering.retry(now=100.9, draw=rig.draw)
                 self.assertEqual(resets(actions), [])
 
--- a/tests/packets/test_verdicts.py
+++ b/tests/packets/test_verdicts.py
@@ -10,13 +10,13 @@
 from monsoonpier.wire.frames import Holds, Whose
 from tests.packets.rig import SteeringRig, packet, record
 
-BACK = 1_000.0  # the balancer's start, in seconds
+BALANCER_START = 1_000.0  # in seconds
 AGENTS_UP = (0.05, 0.55)  # after the balancer's start
-WAY = 0.003
-RETRY = 0.02
-SENT_AGAIN = (0.2, 0.6, 1.4, 3.0)  # retransmissions of a caller
+ONE_WAY_SECONDS = 0.003
+RETRY_INTERVAL = 0.02
+RETRANSMISSIONS = (0.2, 0.6, 1.4, 3.0)  # seconds after the first packet
 FLOWS = 60
-PATIENCE = 4.0
+CALLER_TIMEOUT = 4.0
 
 
 class Outage:
@@ -40,13 +40,13 @@
         vanished: int = 0,
     ) -> None:
         self.draw = random.Random(11)
-        self.rig = SteeringRig(targets=0, started_at=BACK)
+        self.rig = SteeringRig(targets=0, started_at=BALANCER_START)
         self.rig.membership.has_agreed_with_any = True
         self.lost = lost
         self.silent = silent
-        self.told_after: list[float] = []
-        self.questions = 0
-        self._asked_at_by_flow: dict[bytes, float] = {}
+        self.reset_delays: list[float] = []
+        self.queries = 0
+        self._first_sent_at_by_flow: dict[bytes, float] = {}
         self._events: list = []
         self._order = itertools.count()
         for number in range(1, targets + 1):
@@ -54,14 +54,14 @@
         for number in range(targets + 1, targets + vacant + vanished + 1):
             is_absent = number <= targets + vacant
             after = self.draw.uniform(*AGENTS_UP)
-            self._after(after, self._empty_up, number, is_absent)
+            self._after(after, self._agent_without_target_up, number, is_absent)
         for number in range(1, FLOWS + 1):
             # Callers send before or after the power returns.
-            began = self.draw.uniform(-1.5, 0.8)
-            for again in (0.0, *SENT_AGAIN):
-                if began + again > 0.3:
-                    self._after(began + again, self._caller_sends, number)
-        self._after(RETRY, self._retry)
+            first_sent = self.draw.uniform(-1.5, 0.8)
+            for offset in (0.0, *RETRANSMISSIONS):
+                if first_sent + offset > 0.3:
+                    self._after(first_sent + offset, self._caller_sends, number)
+        self._after(RETRY_INTERVAL, self._retry)
 
     def play(self) -> None:
         """Run until every caller has given up."""
@@ -70,7 +70,7 @@
             call(*arguments)
 
     def _after(self, seconds: float, call, *arguments) -> None:
-        at = (self.now if hasattr(self, "now") else BACK) + seconds
+        at = (self.now if hasattr(self, "now") else BALANCER_START) + seconds
         heapq.heappush(self._events, (at, next(self._order), call, arguments))
 
     def _agent_up(self, number: int) -> None:
@@ -81,7 +81,7 @@
         target = record(name, ip=ip, data_centre="dc-1", condition=condition)
         self.rig.membership.table.learn(target, now=self.now)
 
-    def _empty_up(self, number: int, is_absent: bool) -> None:
+    def _agent_without_target_up(self, number: int, is_absent: bool) -> None:
         """Start an agent without a target."""
         name = f"maps-{number}"
         self.silent |= {name}
@@ -97,41 +97,41 @@
 
     def _caller_sends(self, number: int) -> None:
         sent = packet(number, size=100)
-        if self._asked_at_by_flow.get(sent.flow) == -1.0:
+        if self._first_sent_at_by_flow.get(sent.flow) == -1.0:
             return
-        self._asked_at_by_flow.setdefault(sent.flow, self.now)
+        self._first_sent_at_by_flow.setdefault(sent.flow, self.now)
         self._do(self.rig.caller(sent, now=self.now))
 
     def _retry(self) -> None:
         self._do(self.rig.steering.retry(now=self.now, draw=self.draw))
-        if self.now < BACK + PATIENCE:
-            self._after(RETRY, self._retry)
+        if self.now < BALANCER_START + CALLER_TIMEOUT:
+            self._after(RETRY_INTERVAL, self._retry)
 
     def _do(self, actions: list) -> None:
         names = {(r.ip, r.port): r.name for r in self.rig.membership.table.records}
         for action in actions:
             if isinstance(action, ResetCaller):
                 flow = action.packet.flow
-                self.told_after.append(self.now - self._asked_at_by_flow[flow])
-                self._asked_at_by_flow[flow] = -1.0
+                self.reset_delays.append(self.now - self._first_sent_at_by_flow[flow])
+                self._first_sent_at_by_flow[flow] = -1.0
             elif isinstance(action.frame, Whose):
-                self.questions += 1
-                self._ask(names[action.endpoint], action.frame)
+                self.queries += 1
+                self._deliver_query(names[action.endpoint], action.frame)
 
-    def _ask(self, name: str, question: Whose) -> None:
+    def _deliver_query(self, name: str, question: Whose) -> None:
         is_lost = self.draw.random() < self.lost
         if not is_lost and name not in self.silent:
-            self._after(2 * WAY, self._answer, name, question)
+            self._after(2 * ONE_WAY_SECONDS, self._reply, name, question)
 
-    def _answer(self, name: str, question: Whose) -> None:
-        word = Holds(
+    def _reply(self, name: str, question: Whose) -> None:
+        reply = Holds(
             question=question.question,
             agent=name,
             held=(),
             is_sure=True,
-            run_ms=round((self.now - BACK) * 1000),
+            run_ms=round((self.now - BALANCER_START) * 1000),
         )
-        self._do(self.rig.agent(word, now=self.now))
+        self._do(self.rig.agent(reply, now=self.now))
 
 
 class VerdictTests(unittest.TestCase):
@@ -143,10 +143,10 @@
             with self.subTest(targets=targets):
                 outage = Outage(targets=targets, lost=0.05)
                 outage.play()
-                told = sorted(outage.told_after)
-                self.assertEqual(len(told), FLOWS)
-                self.assertLess(told[FLOWS * 9 // 10], 0.8)
-                self.assertLess(told[-1], 1.0)
+                delays = sorted(outage.reset_delays)
+                self.assertEqual(len(delays), FLOWS)
+                self.assertLess(delays[FLOWS * 9 // 10], 0.8)
+                self.assertLess(delays[-1], 1.0)
 
     def test_vms_without_a_target(self) -> None:
         """Agents without a target don't delay the resets."""
@@ -154,10 +154,10 @@
             with self.subTest(vacant=vacant, vanished=vanished):
                 outage = Outage(targets=46, lost=0.05, vacant=vacant, vanished=vanished)
                 outage.play()
-                self.assertEqual(len(outage.told_after), FLOWS)
-                self.assertLess(max(outage.told_after), most)
+                self.assertEqual(len(outage.reset_delays), FLOWS)
+                self.assertLess(max(outage.reset_delays), most)
                 # Most resets don't wait for the last agents.
-                self.assertLess(sum(outage.told_after) / FLOWS, 0.5)
+                self.assertLess(sum(outage.reset_delays) / FLOWS, 0.5)
 
     def test_mostly_vms_without_a_target(self) -> None:
         """If most agents have no target, resets wait until one could be found."""
@@ -165,18 +165,18 @@
             with self.subTest(vacant=vacant, vanished=vanished):
                 outage = Outage(targets=9, lost=0.05, vacant=vacant, vanished=vanished)
                 outage.play()
-                self.assertEqual(len(outage.told_after), FLOWS)
-                self.assertLess(max(outage.told_after), 2.0)
+                self.assertEqual(len(outage.reset_delays), FLOWS)
+                self.assertLess(max(outage.reset_delays), 2.0)
 
     def test_questions_a_flow(self) -> None:
         """Queries are batched: an agent gets fewer than one for two dead flows."""
         outage = Outage(targets=300, lost=0.05, vacant=30)
         outage.play()
-        self.assertEqual(len(outage.told_after), FLOWS)
-        self.assertLess(outage.questions / (330 * FLOWS), 0.5)
+        self.assertEqual(len(outage.reset_delays), FLOWS)
+        self.assertLess(outage.queries / (330 * FLOWS), 0.5)
 
     def test_one_silent_agent(self) -> None:
         """No flow is reset while one agent doesn't reply, as it may own the flow."""
         outage = Outage(targets=109, lost=0.0, silent=frozenset({"maps-7"}))
         outage.play()
-        self.assertEqual(outage.told_after, [])
+        self.assertEqual(outage.reset_delays, [])
