--- a/monsoonpier/balancer/__init__.py
+++ b/monsoonpier/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""The process on each entry VM: steers packets and keeps nothing per flow."""
+"""The balancer process of each entry VM, which steers packets to targets."""
--- a/monsoonpier/balancer/actions.py
+++ b/monsoonpier/balancer/actions.py
@@ -1,4 +1,4 @@
-"""What a balancer's decisions ask its process to do."""
+"""Actions that a balancer's decisions return for its process to carry out."""
 
 import msgspec
 
@@ -8,7 +8,8 @@
 class ToAgent(msgspec.Struct, frozen=True, kw_only=True, gc=False):
     """Send a frame to another process's internal address.
 
-    ``flow`` names the flow whose packet the frame brings; such frames stay in order.
+    ``flow`` is the flow whose packet the frame carries, if any; frames of one flow
+    are sent in order.
     """
 
     endpoint: tuple[str, int]
@@ -25,12 +26,12 @@
 
 
 class FetchConfiguration(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """A peer holds a newer configuration: ask it."""
+    """Fetch the configuration from a peer that has a newer one."""
 
     control: str
 
 
 class FetchTable(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """A peer's table differs from this one: ask it for the difference."""
+    """Fetch the differing target records from a peer."""
 
     control: str
--- a/monsoonpier/balancer/configuration_copy.py
+++ b/monsoonpier/balancer/configuration_copy.py
@@ -1,8 +1,7 @@
-"""A compact copy of the configuration, for processes that start.
+"""A compressed copy of the configuration in the store, for starting balancers.
 
-The load that it answers: everything has lost power, and each balancer reads the
-operators' value before it can serve anybody. With 1,600 routes that is 370 KB, 0.6 s
-of an entry VM's link of 5 Mbit/s; packed it is a tenth.
+It shortens a restart of all balancers at once, for example after a power failure:
+the copy is much smaller than the operators' value.
 """
 
 import msgspec
@@ -16,19 +15,19 @@
     "MAX_COPY_BYTES",
     "ConfigurationCopies",
     "ConfigurationCopy",
-    "open_copy",
-    "seal_copy",
+    "decode_copy",
+    "encode_copy",
 ]
 
-MAX_COPY_BYTES = 1_000_000  # the least that stores allow for a value, less the seal
+MAX_COPY_BYTES = 1_000_000  # any supported store accepts a value of this size
 
 
 class ConfigurationCopy(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What a balancer that knew the configuration has left for others.
+    """A configuration that a balancer has stored for others.
 
     Attributes:
-        version: The configuration's version; who holds a newer one ignores the copy.
-        packed: The operators' value as peers hand it to one another.
+        version: The version of the configuration.
+        packed: The operators' value, compressed as for peers.
     """
 
     version: int
@@ -39,13 +38,13 @@
 _decode = msgspec.msgpack.Decoder(ConfigurationCopy).decode
 
 
-def seal_copy(copy: ConfigurationCopy, *, keys: KeyRing) -> bytes:
-    """Return the value that is stored; only holders of a key can make one."""
+def encode_copy(copy: ConfigurationCopy, *, keys: KeyRing) -> bytes:
+    """Return the value to store: the encoded copy with its MAC."""
     return keys.seal(_encode(copy), purpose=FRAME)
 
 
-def open_copy(data: bytes, *, keys: KeyRing) -> ConfigurationCopy | None:
-    """Return the copy in a stored value; ``None`` if it is somebody else's."""
+def decode_copy(data: bytes, *, keys: KeyRing) -> ConfigurationCopy | None:
+    """Return the copy in a stored value; ``None`` if its MAC or format is wrong."""
     body = keys.unseal(data, purpose=FRAME)
     if body is None:
         return None
@@ -56,11 +55,11 @@
 
 
 class ConfigurationCopies:
-    """The copy in the store: read by those who start, kept by one balancer.
+    """Reads and replaces the copy in the store.
 
     Args:
         store: The platform's key-value service.
-        keys: Seal the copy.
+        keys: Authenticate the copy.
     """
 
     def __init__(self, *, store: Store, keys: KeyRing) -> None:
@@ -68,64 +67,64 @@
         self._keys = keys
         self._mod_revision = NO_REVISION
         self._version = 0
-        self._is_doubtful = False
+        self._may_be_lost = False
 
-    def forget(self) -> None:
-        """Believe no longer that a copy is there: the store may have lost it.
+    def assume_lost(self) -> None:
+        """Assume that the store has lost the copy.
 
-        Nor what a write that is under way will be answered.
+        This also voids the result of a write that is in flight.
         """
-        self._is_doubtful = True
+        self._may_be_lost = True
         self._mod_revision = NO_REVISION
         self._version = 0
 
     async def read(self, *, may_be_old: bool = False) -> ConfigurationCopy | None:
-        """Return the copy in the store, if there is one that can be used.
+        """Return the copy in the store, if there is a valid one.
 
         Args:
-            may_be_old: One that is seconds old will do.
+            may_be_old: Allow the store to answer with a value that is seconds old.
 
         Raises:
             StoreError: If the store can't be reached.
         """
-        found = await self._store.read(CONFIGURATION_COPY, may_be_old=may_be_old)
-        value = found.values_by_key.get(CONFIGURATION_COPY)
+        snapshot = await self._store.read(CONFIGURATION_COPY, may_be_old=may_be_old)
+        value = snapshot.values_by_key.get(CONFIGURATION_COPY)
         if value is None:
-            self.forget()
+            self.assume_lost()
             return None
         self._mod_revision = value.mod_revision
-        copy = open_copy(value.value, keys=self._keys)
+        copy = decode_copy(value.value, keys=self._keys)
         self._version = copy.version if copy is not None else 0
         return copy
 
-    def is_old(self, version: int) -> bool:
-        """Tell whether the copy, as far as is known, is of an older version."""
+    def is_older_than(self, version: int) -> bool:
+        """Return whether the copy, as last seen, is older than ``version``."""
         return version > self._version
 
     async def write(self, copy: ConfigurationCopy) -> bool:
-        """Replace an older copy; tell whether this one is in the store now.
+        """Replace an older copy; return whether this one is in the store now.
 
-        Another balancer may have replaced it meanwhile: then it is read anew. So it
-        is if the store came back from an older copy, where the condition may have held
-        for another revision of the same number.
+        Reads the copy again instead if another balancer has replaced it, or if the
+        store was restored from a backup: there the compared revision number may
+        belong to another write.
 
         Raises:
             StoreError: If the store can't be reached.
         """
-        value = seal_copy(copy, keys=self._keys)
+        value = encode_copy(copy, keys=self._keys)
         if len(value) > MAX_COPY_BYTES:
-            self._version = copy.version  # Too large for anybody: not tried again.
+            self._version = copy.version  # Too large to store: prevents a retry.
             return False
-        held = self._mod_revision
-        self._is_doubtful = False
+        expected = self._mod_revision
+        self._may_be_lost = False
         result = await self._store.transact(
-            compares=(Compare(key=CONFIGURATION_COPY, mod_revision=held),),
+            compares=(Compare(key=CONFIGURATION_COPY, mod_revision=expected),),
             puts=(Put(key=CONFIGURATION_COPY, value=value),),
         )
-        is_earlier = (
-            held != NO_REVISION and held.generation < result.revision.generation
+        was_restored = (
+            expected != NO_REVISION and expected.generation < result.revision.generation
         )
-        if not result.succeeded or is_earlier or self._is_doubtful:
+        if not result.succeeded or was_restored or self._may_be_lost:
             await self.read()
             return False
         self._mod_revision, self._version = result.revision, copy.version
--- a/monsoonpier/balancer/contact.py
+++ b/monsoonpier/balancer/contact.py
@@ -1,32 +1,29 @@
-"""Whether a balancer is in contact with any other process of the system.
+"""Detection of a balancer that is cut off from all other processes.
 
-The fault that it answers: an entry VM that is cut off from all others but not from
-the fabric. Its callers' flows can't be placed and their packets not be passed on,
-while the other entry VMs could serve them; so it asks the fabric for no more, and
-goes on with what does come. Measured on an entry VM that was cut off for 6 s: it
-reset 18 callers a second, and its data centre got 0.85 of what it asked for.
+Such a balancer can't place or forward its callers' flows. If the fabric still reaches
+it, it must stop being ready, so that the fabric sends callers to other entry VMs.
 
-The store is no part of this: an outage of it takes nothing away.
+The store does not count here: its outage doesn't stop a balancer from serving.
 """
 
-__all__ = ["Contact"]
+__all__ = ["ContactMonitor"]
 
-# Peers gossip once a second and answer gossip in a few milliseconds. After half of
-# that they are asked out of turn, three times or more before silence counts.
-ASK_SECONDS = 0.5
+# Peers gossip once a second and answer gossip within milliseconds. After this much
+# silence they are probed, which leaves time for several probes before the limit.
+PROBE_AFTER_SECONDS = 0.5
 SILENT_SECONDS = 1.1
-# Agents heartbeat once a second, and nobody answers a balancer out of turn that has
-# no peers: one heartbeat may be lost and the next one late.
+# Without peers there are only the agents' heartbeats, one a second: one may be lost
+# and the next one late.
 ALONE_SILENT_SECONDS = 3.0
-# Contact that was lost again a moment after it had come back is believed later each
-# time, so that a link that comes and goes doesn't move callers to and fro.
+# Hold-down: contact that was lost again soon is trusted later each time, so that an
+# unstable link doesn't move callers back and forth.
 FIRST_HOLD_SECONDS = 1.0
 MAX_HOLD_SECONDS = 8.0
-CALM_SECONDS = 15.0  # of contact, and earlier losses count no more
+STABLE_SECONDS = 15.0  # contact of this length resets the hold-down
 
 
-class Contact:
-    """When other processes were heard, and what that says. Does no I/O.
+class ContactMonitor:
+    """Decides from the times of received frames whether to be ready. Does no I/O.
 
     Args:
         now: When the balancer started.
@@ -34,33 +31,33 @@
 
     def __init__(self, *, now: float) -> None:
         self._heard_at = now
-        self._since = now  # when the present contact began
+        self._since = now  # start of the current contact
         self._hold_seconds = 0.0
 
-    def heard(self, *, has_peers: bool, now: float) -> None:
-        """Take any frame of another process as a sign of contact."""
+    def frame_received(self, *, has_peers: bool, now: float) -> None:
+        """Record a frame from any other process."""
         if self._is_silent(has_peers=has_peers, now=now):
-            self._begin_again(now=now)
+            self._restart_contact(now=now)
         self._heard_at = now
 
-    def _begin_again(self, *, now: float) -> None:
+    def _restart_contact(self, *, now: float) -> None:
         lasted = self._heard_at - self._since
         self._since = now
-        if lasted >= CALM_SECONDS:
+        if lasted >= STABLE_SECONDS:
             self._hold_seconds = 0.0
         else:
             doubled = max(FIRST_HOLD_SECONDS, 2 * self._hold_seconds)
             self._hold_seconds = min(MAX_HOLD_SECONDS, doubled)
 
     def is_in_contact(self, *, has_peers: bool, now: float) -> bool:
-        """Tell whether callers should be sent here."""
+        """Return whether contact exists and its hold-down is over."""
         if self._is_silent(has_peers=has_peers, now=now):
             return False
         return now - self._since >= self._hold_seconds
 
-    def should_ask(self, *, now: float) -> bool:
-        """Tell whether peers should be asked for a sign, out of turn."""
-        return now - self._heard_at >= ASK_SECONDS
+    def should_probe(self, *, now: float) -> bool:
+        """Return whether peers should be probed, outside the usual gossip rounds."""
+        return now - self._heard_at >= PROBE_AFTER_SECONDS
 
     def _is_silent(self, *, has_peers: bool, now: float) -> bool:
         limit = SILENT_SECONDS if has_peers else ALONE_SILENT_SECONDS
--- a/monsoonpier/balancer/member.py
+++ b/monsoonpier/balancer/member.py
@@ -1,4 +1,4 @@
-"""A balancer's dealings with its peers: sockets and tasks around `Membership`."""
+"""The I/O of a balancer's membership: sockets, tasks and the store's connection."""
 
 import asyncio
 import random
@@ -9,7 +9,7 @@
 
 from monsoonpier.balancer.actions import FetchConfiguration, FetchTable, ToAgent
 from monsoonpier.balancer.configuration_copy import ConfigurationCopies
-from monsoonpier.balancer.contact import Contact
+from monsoonpier.balancer.contact import ContactMonitor
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.balancer.store_link import EvacuationsRead, StoreLink
 from monsoonpier.balancer.stored_configuration import (
@@ -44,22 +44,22 @@
 __all__ = ["Member", "balancer_record"]
 
 GOSSIP_SECONDS = 1.0
-NEWS_CHECK_SECONDS = 0.1
-# A balancer that has just started learns of targets and tells of them sooner: it
-# serves nothing before.
-YOUNG_SECONDS = 3.0
-YOUNG_NEWS_CHECK_SECONDS = 0.03
-YOUNG_GOSSIP_SECONDS = 0.15  # until tables agree no dead flow's caller is answered
-CONTACT_PEERS = 3  # asked for a sign at once; more would be a storm in a large fleet
+UPDATE_CHECK_SECONDS = 0.1
+# A balancer that has just started gossips more often, since it can't serve before it
+# knows the targets.
+STARTUP_SECONDS = 3.0
+STARTUP_CHECK_SECONDS = 0.03  # in place of UPDATE_CHECK_SECONDS
+STARTUP_GOSSIP_SECONDS = 0.15
+PROBED_PEERS = 3  # a bound, so that large fleets aren't flooded
 CONTACT_CHECK_SECONDS = 0.2
-FIRST_GREETING_SECONDS = 0.03  # a starting process serves nothing until it is answered
-GREETING_SECONDS = 0.2
-GREETED_PEERS = 4  # beside the seeds
+FIRST_JOIN_SECONDS = 0.03  # first interval of messages while no target is known
+MAX_JOIN_SECONDS = 0.2
+JOIN_PEERS = 4  # beside the seeds
 _log = structlog.get_logger("monsoonpier.balancer.member")
 
 
 def balancer_record(settings: Settings) -> BalancerRecord:
-    """Return what a balancer that starts now tells others of itself."""
+    """Return the record of a balancer that starts now."""
     assert settings.internal and settings.control
     return BalancerRecord(
         name=settings.name,
@@ -72,17 +72,19 @@
 
 
 class Member:
-    """Owns the internal socket, the control server, gossip and the store's link.
+    """Runs a balancer's internal socket, control server, gossip and store link.
 
     Args:
-        membership: The decisions that it serves.
-        life: The process's life.
-        sender: The link that all of the process's sockets share.
-        store: Where configuration and balancers are found.
-        take_frame: Takes a frame that came to the internal address.
+        settings: The process's settings.
+        membership: Decides on frames; this class does its I/O.
+        life: The lifecycle of the process.
+        sender: The outgoing link that all sockets of the process share.
+        store: Holds the configuration and the registered balancers.
+        take_frame: Called with each frame that isn't one of membership.
         on_configured: Called after a newer configuration is in force.
-        configuration_format: How the store's value is read.
-        read_waiting: Tells how callers fare, where that is known.
+        draw: Random numbers for jitter and for choosing peers.
+        configuration_format: Decodes and compresses the stored configuration.
+        read_waiting: Returns summaries of waiting callers for status replies.
     """
 
     def __init__(
@@ -123,22 +125,22 @@
             evacuate=self._take_evacuation,
             draw=draw,
             generation=membership.store_generation,
-            on_restored=self._note_restored,
+            on_restored=self._take_store_restored,
         )
         self._control = ControlServer(
             address=settings.control, keys=settings.keys, handler=self._answer
         )
         self._socket: UdpSocket | None = None
-        self._fetching_by_kind: dict[type, asyncio.Task] = {}
+        self._fetches_by_action: dict[type, asyncio.Task] = {}
         self._bytes_by_direction = {"in": 0, "out": 0}
         self._started = time.monotonic()
-        self._contact = Contact(now=self._started)
+        self._contact = ContactMonitor(now=self._started)
         self._was_in_contact = True
         self.dropped_by_reason: dict[str, int] = {}
 
     @property
     def jobs(self) -> tuple[Callable, ...]:
-        """What runs until the process ends."""
+        """The coroutine functions to run until the process ends."""
         return (
             self._control.run,
             self._gossip_forever,
@@ -148,13 +150,13 @@
 
     @property
     def is_in_contact(self) -> bool:
-        """Whether any other process of the system has been heard lately."""
+        """Whether frames of other processes have arrived recently."""
         has_peers = self._membership.peers.has_peers
         return self._contact.is_in_contact(has_peers=has_peers, now=_now())
 
     @property
     def bytes_by_direction(self) -> dict[str, int]:
-        """Control traffic so far; ``zmq`` counts both directions."""
+        """Bytes of control traffic so far; ``zmq`` counts both directions."""
         return dict(self._bytes_by_direction, zmq=self._control.bytes_total)
 
     async def start(self) -> None:
@@ -169,7 +171,7 @@
         self._control.start()
 
     async def leave(self) -> None:
-        """Tell peers and the store that this balancer leaves."""
+        """Inform peers and the store that this balancer leaves."""
         self._membership.peers.leave()
         self._send_round(eager=True)
         await self._link.leave()
@@ -195,12 +197,12 @@
 
         Args:
             frame: The frame.
-            endpoint: Where to.
-            is_control: It isn't a packet of a flow.
+            endpoint: The destination.
+            is_control: Whether to count the frame as control traffic.
             flow: The flow that it belongs to, if any.
         """
         if self._socket is None:
-            return  # a frame that came while the socket was being set up
+            return  # Frames may arrive while the socket is being set up.
         size = send_frame(
             frame,
             endpoint,
@@ -213,12 +215,12 @@
             self._bytes_by_direction["out"] += size
 
     def do(self, action) -> None:
-        """Carry out one of the membership's actions."""
+        """Carry out an action of the membership."""
         match action:
             case ToAgent(endpoint=endpoint, frame=frame):
                 self.send(frame, endpoint, is_control=True)
             case FetchConfiguration() | FetchTable():
-                self._fetch(action)
+                self._start_fetch(action)
 
     def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
         frame = self._codec.decode(data)
@@ -227,17 +229,19 @@
             dropped[frame.reason] = dropped.get(frame.reason, 0) + 1
             return
         now = _now()
-        self._contact.heard(has_peers=self._membership.peers.has_peers, now=now)
+        self._contact.frame_received(
+            has_peers=self._membership.peers.has_peers, now=now
+        )
         before = self._membership.evacuations
         generation = self._membership.store_generation
-        old, returns = generation.number, generation.returns
+        old_generation, restores = generation.number, generation.restores
         actions = self._membership.from_process(
             frame, sender=sender, now=now, draw=self._draw
         )
         self._note_evacuations(before, learned_from=sender[0])
-        if generation.returns > returns:
-            self._link.restored()
-            self._log_restored(old, learned_from=sender[0])
+        if generation.restores > restores:
+            self._link.store_restored()
+            self._log_restored(old_generation, learned_from=sender[0])
         if actions is None:
             self._take_frame(frame, sender)
             return
@@ -247,22 +251,22 @@
 
     # Evacuations
 
-    def _take_evacuation(self, found: Evacuation | EvacuationsRead) -> None:
+    def _take_evacuation(self, update: Evacuation | EvacuationsRead) -> None:
         before = self._membership.evacuations
-        match found:
+        match update:
             case Evacuation():
-                after = before.joined((found,))
+                after = before.joined((update,))
             case EvacuationsRead():
                 after = before.as_read(
-                    found.revisions_by_data_centre,
-                    revision=found.revision,
-                    is_conclusive=found.is_conclusive,
+                    update.revisions_by_data_centre,
+                    revision=update.revision,
+                    is_conclusive=update.is_conclusive,
                 )
         self._membership.evacuate(after)
         self._note_evacuations(before, learned_from="store")
 
     def _note_evacuations(self, before: Evacuations, *, learned_from: str) -> None:
-        """Tell agents and the log what has become known of evacuations."""
+        """Log changed evacuation orders and inform the affected agents."""
         known = self._membership.evacuations.known
         for order in known:
             if before.of(order.data_centre) == order:
@@ -274,76 +278,77 @@
                 generation=order.generation,
                 learned_from=learned_from,
             )
-            for action in self._membership.tell_witnessed(order, now=_now()):
+            for action in self._membership.evacuation_acks(order, now=_now()):
                 self.do(action)
 
-    # The store's return from a copy
+    # Restore of the store from a backup
 
-    def _note_restored(self, old: int, revision: Revision) -> None:
+    def _take_store_restored(self, old_generation: int, revision: Revision) -> None:
         self._membership.has_news = True
-        self._log_restored(old, learned_from="store", revision=revision.number)
+        self._log_restored(
+            old_generation, learned_from="store", revision=revision.number
+        )
 
-    def _log_restored(self, old: int, **how: str | int) -> None:
+    def _log_restored(self, old_generation: int, **source: str | int) -> None:
         new = self._membership.store_generation.number
-        _log.warning("store restored", old=old, new=new, **how)
+        _log.warning("store restored", old=old_generation, new=new, **source)
 
     # Gossip
 
     async def _gossip_forever(self) -> None:
-        """Gossip now and then, and at once when there is news."""
-        greeting = Backoff(
-            first_seconds=FIRST_GREETING_SECONDS, most_seconds=GREETING_SECONDS
+        """Send gossip rounds at intervals, and at once when there are updates."""
+        join_backoff = Backoff(
+            first_seconds=FIRST_JOIN_SECONDS, most_seconds=MAX_JOIN_SECONDS
         )
         while True:
             self._send_round(eager=False)
             if not len(self._membership.table):
-                seconds = greeting.wait_seconds(draw=self._draw)
-                greeting = greeting.after_failure()
+                seconds = join_backoff.wait_seconds(draw=self._draw)
+                join_backoff = join_backoff.after_failure()
             else:
                 seconds = self._gossip_seconds * self._draw.uniform(0.8, 1.2)
             until = _now() + seconds
             while _now() < until:
-                await asyncio.sleep(min(self._news_check_seconds, seconds))
+                await asyncio.sleep(min(self._update_check_seconds, seconds))
                 if self._membership.has_news:
                     self._send_round(eager=True)
 
     @property
-    def _is_young(self) -> bool:
-        return _now() - self._started < YOUNG_SECONDS
+    def _is_starting(self) -> bool:
+        return _now() - self._started < STARTUP_SECONDS
 
     @property
     def _gossip_seconds(self) -> float:
-        return YOUNG_GOSSIP_SECONDS if self._is_young else GOSSIP_SECONDS
+        return STARTUP_GOSSIP_SECONDS if self._is_starting else GOSSIP_SECONDS
 
     @property
-    def _news_check_seconds(self) -> float:
-        return YOUNG_NEWS_CHECK_SECONDS if self._is_young else NEWS_CHECK_SECONDS
+    def _update_check_seconds(self) -> float:
+        return STARTUP_CHECK_SECONDS if self._is_starting else UPDATE_CHECK_SECONDS
 
     def _send_round(self, *, eager: bool) -> None:
         membership = self._membership
         for action in membership.round(now=_now(), draw=self._draw, eager=eager):
             self.do(action)
         if not len(membership.table):
-            self._greet()
+            self._send_join()
 
-    def _greet(self) -> None:
-        """Tell seeds and some peers of this balancer while it knows no target.
+    def _send_join(self) -> None:
+        """Gossip to the seeds and some peers, while no target is known.
 
-        Seeds may be the last to start, and of the peers that the store names any
-        may know all targets already.
+        The seeds alone are not enough, since they may be the last to start.
         """
-        peers = self._membership.peers.sample(GREETED_PEERS, draw=self._draw)
+        peers = self._membership.peers.sample(JOIN_PEERS, draw=self._draw)
         endpoints = {peer.endpoint for peer in peers}
         endpoints |= {seed.endpoint for seed in self._settings.seeds}
         endpoints.discard(self._membership.peers.own.endpoint)
         for endpoint in sorted(endpoints):
-            self._greet_one(endpoint)
+            self._gossip_to(endpoint)
 
-    def _greet_one(self, endpoint: tuple[str, int]) -> None:
+    def _gossip_to(self, endpoint: tuple[str, int]) -> None:
         self.do(self._membership.greeting(endpoint, now=_now(), draw=self._draw))
 
     async def _keep_contact_forever(self) -> None:
-        """Ask peers out of turn when nobody is heard, and note what comes of it."""
+        """Probe peers when no frames arrive, and log lost and regained contact."""
         while True:
             await asyncio.sleep(CONTACT_CHECK_SECONDS)
             is_in_contact = self.is_in_contact
@@ -352,29 +357,30 @@
                 event = "contact regained" if is_in_contact else "contact lost"
                 balancers = len(self._membership.peers.records_by_name)
                 _log.warning(event, balancers=balancers)
-            if not self._contact.should_ask(now=_now()):
+            if not self._contact.should_probe(now=_now()):
                 continue
-            peers = self._membership.peers.sample(CONTACT_PEERS, draw=self._draw)
+            peers = self._membership.peers.sample(PROBED_PEERS, draw=self._draw)
             for peer in peers:
-                self._greet_one(peer.endpoint)
+                self._gossip_to(peer.endpoint)
 
-    # Asking peers
+    # Requests to peers
 
-    def _fetch(self, action: FetchConfiguration | FetchTable) -> None:
+    def _start_fetch(self, action: FetchConfiguration | FetchTable) -> None:
+        """Start a fetch, unless one of the same kind is running."""
         kind = type(action)
-        running = self._fetching_by_kind.get(kind)
+        running = self._fetches_by_action.get(kind)
         if running is None or running.done():
-            self._fetching_by_kind[kind] = asyncio.create_task(self._ask(action))
+            self._fetches_by_action[kind] = asyncio.create_task(self._fetch(action))
 
-    async def _ask(self, action: FetchConfiguration | FetchTable) -> None:
+    async def _fetch(self, action: FetchConfiguration | FetchTable) -> None:
         membership = self._membership
         match action:
             case FetchConfiguration():
-                question = AskConfiguration(newer_than=self._configuration.version)
+                request = AskConfiguration(newer_than=self._configuration.version)
             case FetchTable():
-                question = AskTable(digests=membership.table.bucket_digests)
+                request = AskTable(digests=membership.table.bucket_digests)
         try:
-            reply = await ask(action.control, question, keys=self._settings.keys)
+            reply = await ask(action.control, request, keys=self._settings.keys)
         except NoAnswer as error:
             _log.info("peer did not answer", reason=str(error))
             return
@@ -387,18 +393,18 @@
                 for balancer in balancers:
                     membership.peers.learn(balancer)
 
-    # Control
+    # Control requests
 
     async def _answer(self, message):
         membership = self._membership
         match message:
             case AskConfiguration(newer_than=version, service=service):
-                held = self._configuration.version
-                is_newer = held > version
+                current = self._configuration.version
+                is_newer = current > version
                 packed = self._configuration.packed(service) if is_newer else b""
-                return ConfigurationReply(version=held, packed=packed)
+                return ConfigurationReply(version=current, packed=packed)
             case AskTable(digests=digests):
-                records = membership.table.records_unlike(digests)
+                records = membership.table.records_in_differing_buckets(digests)
                 balancers = tuple(membership.peers.records_by_name.values())
                 return TableReply(records=records, balancers=balancers)
             case AskStatus():
--- a/monsoonpier/balancer/membership.py
+++ b/monsoonpier/balancer/membership.py
@@ -1,4 +1,4 @@
-"""What a balancer knows of targets and peers, and how it learns: no I/O."""
+"""Membership protocol of balancers: gossip, heartbeats and announcements."""
 
 import random
 
@@ -20,31 +20,34 @@
 
 __all__ = ["ALONE_SECONDS", "Membership"]
 
-# Until then targets may be unknown to a balancer that has just started. Agents
-# announce themselves five times a second while no balancer answers them, and a
-# peer that has settled hands on its whole table.
-AGREED_SECONDS = 1.0  # a heartbeat's interval
-ALONE_SECONDS = 4.0  # agents started together were up to 3 s apart in the soak
-NEAR_BALANCERS = 6  # named to an agent; it heartbeats to the first few it can reach
+# Seconds since its start before a balancer assumes that it knows all targets: the
+# first if its table agrees with that of a peer which has converged, else the second,
+# which leaves agents the time to announce themselves.
+AGREED_SECONDS = 1.0
+ALONE_SECONDS = 4.0
+NEAR_BALANCERS = 6  # named to an agent, which heartbeats to the first few it reaches
 
 
 class Membership:
-    """Targets, peers and the configuration's version, kept by gossip.
+    """The targets, peers, configuration and evacuations that a balancer knows.
 
-    Both ways of steering, by token and by address, decide on what it knows.
+    Processes frames of the membership protocol and returns actions. Does no I/O.
 
     Attributes:
-        has_news: Something is to be spread at once.
-        has_agreed: The table of a peer that has settled was the same as this one.
-        has_agreed_with_any: So was that of any peer; those that have just started
-            together may know the same few targets.
-        evacuations: The last known orders on data centres.
-        store_generation: Which of the store's generations is the present one.
-        started_at: When this balancer started, by its steady clock; long ago unless
-            it is given.
+        peers: The known balancers.
+        table: The known targets.
+        configuration: The configuration in force.
+        has_news: An update should be gossiped at once.
+        has_agreed: The table of a peer that has converged was equal to this one.
+        has_agreed_with_any: The table of any peer was. This is weaker evidence:
+            balancers that have just started may know the same few targets.
+        evacuations: The last known evacuation orders.
+        store_generation: The newest known generation of the store.
+        started_at: When this balancer started, by its monotonic clock.
 
     Args:
         own: This balancer's own record.
+        started_at: As above; the default means long ago.
     """
 
     def __init__(self, *, own: BalancerRecord, started_at: float = 0.0) -> None:
@@ -57,49 +60,56 @@
         self.has_agreed = False
         self.has_agreed_with_any = False
         self.started_at = started_at
-        self._differed_from: str | None = None
+        self._differing_peer: str | None = None
 
     def is_settled(self, *, now: float) -> bool:
-        """Tell whether all targets that can be reached are likely to be known."""
+        """Return whether all reachable targets are likely to be known."""
         needed = AGREED_SECONDS if self.has_agreed else ALONE_SECONDS
         return now - self.started_at >= needed
 
     def from_process(
         self, frame, *, sender: tuple[str, int], now: float, draw: random.Random
     ) -> list | None:
-        """Decide on a frame; ``None`` if it isn't one of membership."""
+        """Process a frame and return actions.
+
+        Returns ``None`` for a frame that doesn't belong to the membership protocol.
+        """
         match frame:
             case Heartbeat():
-                return [self._heartbeat(frame, sender=sender, now=now)]
+                return [self._take_heartbeat(frame, sender=sender, now=now)]
             case Announce():
-                return [self._announced(frame.record, sender=sender, now=now)]
+                return [self._take_announcement(frame.record, sender=sender, now=now)]
             case Gossip():
-                return self._gossiped(frame, sender=sender, now=now, draw=draw)
+                return self._take_gossip(frame, sender=sender, now=now, draw=draw)
         return None
 
-    def _heartbeat(
+    def _take_heartbeat(
         self, frame: Heartbeat, *, sender: tuple[str, int], now: float
     ) -> ToAgent:
         record = self.table.record(frame.name)
         known = record is not None and record.rank == (frame.epoch, frame.change)
         if known:
-            self.table.beaten(frame.name, frame.load, now=now)
-        return self._ack(record, known=known, introduce=False, sender=sender, now=now)
+            self.table.record_heartbeat(frame.name, frame.load, now=now)
+        return self._ack(
+            record, known=known, name_balancers=False, sender=sender, now=now
+        )
 
-    def _announced(
+    def _take_announcement(
         self, record: TargetRecord, *, sender: tuple[str, int], now: float
     ) -> ToAgent:
         if self.table.learn(record, now=now):
-            self._spread(record)
-        held = self.table.record(record.name) or record
-        return self._ack(held, known=True, introduce=True, sender=sender, now=now)
+            self._queue_update(record)
+        newest = self.table.record(record.name) or record
+        return self._ack(
+            newest, known=True, name_balancers=True, sender=sender, now=now
+        )
 
     def _ack(
         self,
         record: TargetRecord | None,
         *,
         known: bool,
-        introduce: bool,
+        name_balancers: bool,
         sender: tuple[str, int],
         now: float,
     ) -> ToAgent:
@@ -113,8 +123,8 @@
         if record is not None:
             limits = self.configuration.cold_per_second_by_service
             cold_per_second = limits.get(record.service, 0.0)
-        if record is not None and introduce:
-            near = self.peers.near(record.name, count=NEAR_BALANCERS, now=now)
+        if record is not None and name_balancers:
+            near = self.peers.balancers_for(record.name, count=NEAR_BALANCERS, now=now)
         ack = HeartbeatAck(
             balancer=self.peers.own.name,
             version=self.configuration.version,
@@ -128,7 +138,7 @@
         )
         return ToAgent(endpoint=sender, frame=ack)
 
-    def _gossiped(
+    def _take_gossip(
         self,
         frame: Gossip,
         *,
@@ -136,73 +146,72 @@
         now: float,
         draw: random.Random,
     ) -> list:
-        self.peers.heard_from(frame.sender)
+        self.peers.received_from(frame.sender)
         self.evacuate(self.evacuations.joined(frame.evacuations))
         self._learn_generation(frame.store_generation, now=now)
         for record in frame.balancers:
             self.peers.learn(record)
         for record in frame.records:
             if self.table.learn(record, now=now):
-                self._spread(record)
+                self._queue_update(record)
         for silence in frame.silences:
-            if self.table.hear_silence(silence, now=now):
-                self._spread(silence)
+            if self.table.record_silence(silence, now=now):
+                self._queue_update(silence)
         actions: list = []
         if not frame.is_answer:
             actions.append(self._answer(frame, sender=sender, now=now, draw=draw))
         if frame.version > self.configuration.version:
             actions.append(FetchConfiguration(control=frame.sender.control))
-        if self._stays_different(frame, now=now):
+        if self._should_fetch_table(frame, now=now):
             actions.append(FetchTable(control=frame.sender.control))
         return actions
 
-    def _stays_different(self, frame: Gossip, *, now: float) -> bool:
-        """Tell whether a peer's table differs twice in a row.
+    def _should_fetch_table(self, frame: Gossip, *, now: float) -> bool:
+        """Return whether a peer's table differs and should be fetched.
 
-        News that is on its way makes a difference for a round; only one that
-        stays is worth a table's transfer. An empty table can't wait, nor can one
-        that has just begun while the peer knows all: on lossy links a new balancer
-        had one target of 15 for 1.3 s after its start (log of a replay).
+        An update that is still being gossiped makes tables differ for a moment, so
+        only every second difference in a row causes a fetch. A balancer whose table
+        is empty, or that has not converged when its peer has, fetches at once.
         """
         if frame.digest == self.table.digest:
-            self._differed_from = None
-            self._agreed(frame)
+            self._differing_peer = None
+            self._record_agreement(frame)
             return False
-        if not len(self.table) or (frame.is_settled and not self.is_settled(now=now)):
+        if not len(self.table) or (frame.is_converged and not self.is_settled(now=now)):
             return True
-        stays = self._differed_from is not None
-        self._differed_from = None if stays else frame.sender.name
-        return stays
+        differed_before = self._differing_peer is not None
+        self._differing_peer = None if differed_before else frame.sender.name
+        return differed_before
 
-    def _agreed(self, frame: Gossip) -> None:
-        """Note that a peer's table is the same as this one.
+    def _record_agreement(self, frame: Gossip) -> None:
+        """Record that a peer's table equals this one.
 
-        Two that were added together both had one target of 15, and reset open
-        flows which that one denied, when they took each other's word for it.
+        Agreement with a peer that has not converged is recorded separately: two new
+        balancers may both lack most targets.
         """
         has_targets = len(self.table) > 0
         self.has_agreed_with_any = has_targets
-        if frame.is_settled:
+        if frame.is_converged:
             self.has_agreed = has_targets
 
     def round(
         self, *, now: float, draw: random.Random, eager: bool = False
     ) -> list[ToAgent]:
-        """Return one round of gossip; an eager one follows news at once."""
+        """Return one round of gossip; an eager one is sent at once for an update."""
         self.has_news = False
         if not eager:
-            for silence in self.table.own_silences(
-                witness=self.peers.own.name, now=now
+            for silence in self.table.changed_silences(
+                observer=self.peers.own.name, now=now
             ):
-                self.peers.spread(silence)
-            self.table.forget(now=now)
+                self.peers.queue_update(silence)
+            self.table.remove_expired(now=now)
         return [
             self._gossip_to(peer.endpoint, is_answer=False, now=now, draw=draw)
-            for peer in self.peers.pick(now=now, draw=draw, eager=eager)
+            for peer in self.peers.pick_for_round(now=now, draw=draw, eager=eager)
         ]
 
-    def _spread(self, item: TargetRecord | Silence) -> None:
-        self.peers.spread(item)
+    def _queue_update(self, item: TargetRecord | Silence) -> None:
+        self.peers.queue_update(item)
         self.has_news = True
 
     def _answer(
@@ -213,13 +222,13 @@
         now: float,
         draw: random.Random,
     ) -> ToAgent:
-        self.peers.note_old(frame.sender)
+        self.peers.check_epoch(frame.sender)
         if frame.digest != self.table.digest:
             return self._gossip_to(sender, is_answer=True, now=now, draw=draw)
-        answer = self.peers.quiet_answer(
+        answer = self.peers.answer_without_updates(
             version=self.configuration.version,
             digest=self.table.digest,
-            is_settled=self.is_settled(now=now),
+            is_converged=self.is_settled(now=now),
             evacuations=self.evacuations.known,
             store_generation=self.store_generation.number,
             draw=draw,
@@ -229,7 +238,7 @@
     def greeting(
         self, endpoint: tuple[str, int], *, now: float, draw: random.Random
     ) -> ToAgent:
-        """Return gossip for an address whose balancer isn't known yet."""
+        """Return a gossip message for an address, outside the usual rounds."""
         return self._gossip_to(endpoint, is_answer=False, now=now, draw=draw)
 
     def _gossip_to(
@@ -244,7 +253,7 @@
             version=self.configuration.version,
             digest=self.table.digest,
             is_answer=is_answer,
-            is_settled=self.is_settled(now=now),
+            is_converged=self.is_settled(now=now),
             evacuations=self.evacuations.known,
             store_generation=self.store_generation.number,
             draw=draw,
@@ -254,7 +263,7 @@
     # Configuration
 
     def configure(self, configuration: Configuration) -> bool:
-        """Put a configuration in force unless it is older; tell if it was new."""
+        """Put a configuration in force if it is newer; return whether it was."""
         if configuration.version <= self.configuration.version:
             return False
         self.configuration = configuration
@@ -262,29 +271,30 @@
         return True
 
     def evacuate(self, evacuations: Evacuations) -> None:
-        """Take what is known of evacuations now; spread it if anything is new."""
+        """Put evacuation orders in force, and gossip at once if any changed."""
         if evacuations.known != self.evacuations.known:
             self.table.evacuated = evacuations.active
             self.has_news = True
         self.evacuations = evacuations
 
     def _learn_generation(self, number: int, *, now: float) -> None:
-        """Take a peer's word of the store's generation; 0 is none."""
+        """Process the store generation that a peer reports; 0 means unknown."""
         if number and self.store_generation.learn(number, source="peer", now=now):
             self.has_news = True
 
-    def tell_witnessed(self, order: Evacuation, *, now: float) -> list[ToAgent]:
-        """Return word of an order for the agents there that beat to this balancer.
+    def evacuation_acks(self, order: Evacuation, *, now: float) -> list[ToAgent]:
+        """Return messages that inform the affected agents of an order at once.
 
-        With their next heartbeat they would know it up to a second later.
+        They go to agents in the order's data centre that send heartbeats to this
+        balancer. Otherwise these would learn of it with their next heartbeat.
         """
         return [
             self._ack(
                 record,
                 known=True,
-                introduce=False,
+                name_balancers=False,
                 sender=(record.ip, record.port),
                 now=now,
             )
-            for record in self.table.witnessed_in(order.data_centre)
+            for record in self.table.observed_in(order.data_centre)
         ]
--- a/monsoonpier/balancer/peers.py
+++ b/monsoonpier/balancer/peers.py
@@ -1,4 +1,4 @@
-"""The balancers that a balancer knows, and what it tells them."""
+"""The peers of a balancer, and the gossip messages that it sends them."""
 
 import math
 import random
@@ -20,16 +20,16 @@
 
 __all__ = ["Peers"]
 
-FANOUT = 1  # peers told in a quiet round; their answers bring news as well
-EAGER_FANOUT = 2  # peers told at once when there is news
-UNANSWERED_LIMIT = 4  # rounds without an answer after which a peer is left out
-LEFT_OUT_SECONDS = 30.0
-EXTRA_SPREADS = 3  # messages that carry a piece of news, above log2 of the peers
-MAX_NEWS = 4_096
+FANOUT = 1  # peers per periodic round; their answers carry updates too
+EAGER_FANOUT = 2  # peers per round that is sent at once for an update
+UNANSWERED_LIMIT = 4  # unanswered rounds after which a peer is excluded
+EXCLUDED_SECONDS = 30.0
+EXTRA_ROUNDS = 3  # rounds that carry an update, beyond log2 of the number of peers
+MAX_UPDATES = 4_096
 INTRODUCED = 1  # other balancers named in each gossip datagram
-# Of the platform: each data centre has one, which knows of a change when the others
-# are cut off. One may be dead, one may wait for an answer that was lost, and the third
-# tells the fleet. A watch costs a call each two seconds.
+# Balancers that watch the platform, over all data centres. Three let one be down and
+# another wait for a lost answer. Each data centre has at least one, so that it learns
+# of changes while it is cut off from the others.
 MIN_WATCHERS = 3
 MOST_WATCHERS_PER_DATA_CENTRE = 2
 
@@ -38,23 +38,23 @@
 class _Peer:
     record: BalancerRecord
     unanswered: int = 0
-    left_out_until: float = 0.0
+    excluded_until: float = 0.0
 
 
 @dataclass(slots=True, kw_only=True)
-class _News:
+class _Update:
     item: TargetRecord | Silence
-    rounds: int
+    rounds: int  # left to be sent in
 
 
 class Peers:
-    """Known balancers by name and the news to spread. Does no I/O."""
+    """Known balancers by name, and the updates to gossip. Does no I/O."""
 
     def __init__(self, *, own: BalancerRecord) -> None:
         self._own = own
         self._peers_by_name: dict[str, _Peer] = {}
-        self._news: deque[_News] = deque(maxlen=MAX_NEWS)
-        self._introduced_first: BalancerRecord | None = None
+        self._updates: deque[_Update] = deque(maxlen=MAX_UPDATES)
+        self._newer_record_of_peer: BalancerRecord | None = None
 
     @property
     def own(self) -> BalancerRecord:
@@ -62,29 +62,29 @@
         return self._own
 
     def leave(self) -> None:
-        """Mark the own record as leaving, for peers and agents to see."""
+        """Mark the own record as leaving."""
         self._own = msgspec.structs.replace(
             self._own, epoch=self._own.epoch + 1, leaving=True
         )
 
     @property
     def records_by_name(self) -> dict[str, BalancerRecord]:
-        """The peers that are not leaving, and this balancer itself."""
+        """The records of this balancer and its peers, without those that leave."""
         records = {name: peer.record for name, peer in self._peers_by_name.items()}
         records[self._own.name] = self._own
         return {n: r for n, r in records.items() if not r.leaving}
 
     @property
     def near_by_name(self) -> dict[str, BalancerRecord]:
-        """Those of this data centre; this balancer too, while it leaves."""
+        """The records of this data centre, with this balancer even if it leaves."""
         records = self.records_by_name | {self._own.name: self._own}
-        place = self._own.data_centre
-        return {n: r for n, r in records.items() if r.data_centre == place}
+        data_centre = self._own.data_centre
+        return {n: r for n, r in records.items() if r.data_centre == data_centre}
 
     def learn(self, record: BalancerRecord) -> None:
-        """Take a peer's record if it is newer than the one held."""
+        """Store a peer's record if it is newer than the known one."""
         if record.name == self._own.name:
-            self._go_beyond(record)
+            self._raise_own_epoch(record)
             return
         peer = self._peers_by_name.get(record.name)
         if peer is None:
@@ -92,47 +92,54 @@
         elif record.epoch > peer.record.epoch:
             peer.record = record
             peer.unanswered = 0
-            peer.left_out_until = 0.0
+            peer.excluded_until = 0.0
 
-    def _go_beyond(self, held: BalancerRecord) -> None:
-        """Take a later epoch than the one that others hold of this balancer."""
-        if held.epoch > self._own.epoch:
-            self._own = msgspec.structs.replace(self._own, epoch=held.epoch + 1)
+    def _raise_own_epoch(self, known: BalancerRecord) -> None:
+        """Raise the own epoch above the one in a peer's record of this balancer.
 
-    def note_old(self, record: BalancerRecord) -> None:
-        """Tell a peer in the next message what is held of it, if that is newer."""
+        A peer knows a larger epoch if this balancer's wall clock was set back between
+        two starts; it would ignore the smaller one.
+        """
+        if known.epoch > self._own.epoch:
+            self._own = msgspec.structs.replace(self._own, epoch=known.epoch + 1)
+
+    def check_epoch(self, record: BalancerRecord) -> None:
+        """Include the known record of a peer in the next message if it is newer.
+
+        The peer then raises its epoch above that record's.
+        """
         peer = self._peers_by_name.get(record.name)
-        is_old = peer is not None and peer.record.epoch > record.epoch
-        self._introduced_first = peer.record if is_old else None
+        is_outdated = peer is not None and peer.record.epoch > record.epoch
+        self._newer_record_of_peer = peer.record if is_outdated else None
 
-    def heard_from(self, record: BalancerRecord) -> None:
-        """Note that a peer itself has spoken."""
+    def received_from(self, record: BalancerRecord) -> None:
+        """Record that a message came from the peer itself, which is thus alive."""
         self.learn(record)
         peer = self._peers_by_name.get(record.name)
         if peer is not None:
             peer.unanswered = 0
-            peer.left_out_until = 0.0
+            peer.excluded_until = 0.0
 
-    def spread(self, item: TargetRecord | Silence) -> None:
-        """Put a piece of news into the next rounds of gossip."""
-        rounds = len(self._peers_by_name).bit_length() + EXTRA_SPREADS
-        self._news.append(_News(item=item, rounds=rounds))
+    def queue_update(self, item: TargetRecord | Silence) -> None:
+        """Queue an update for the next rounds of gossip."""
+        rounds = len(self._peers_by_name).bit_length() + EXTRA_ROUNDS
+        self._updates.append(_Update(item=item, rounds=rounds))
 
-    def pick(
+    def pick_for_round(
         self, *, now: float, draw: random.Random, eager: bool = False
     ) -> list[BalancerRecord]:
-        """Return the peers to tell in this round, and count it as asked."""
+        """Return random peers to gossip to, and count the round as unanswered."""
         fanout = EAGER_FANOUT if eager else FANOUT
         ready = [
             peer
             for peer in self._peers_by_name.values()
-            if not peer.record.leaving and now >= peer.left_out_until
+            if not peer.record.leaving and now >= peer.excluded_until
         ]
         picked = draw.sample(ready, min(fanout, len(ready)))
         for peer in picked:
             peer.unanswered += 1
             if peer.unanswered > UNANSWERED_LIMIT:
-                peer.left_out_until = now + LEFT_OUT_SECONDS
+                peer.excluded_until = now + EXCLUDED_SECONDS
                 peer.unanswered = UNANSWERED_LIMIT
         return [peer.record for peer in picked]
 
@@ -142,14 +149,14 @@
         return bool(self._peers_by_name)
 
     def sample(self, count: int, *, draw: random.Random) -> list[BalancerRecord]:
-        """Return some peers, also such as have not answered of late."""
+        """Return up to ``count`` random peers, excluded ones too."""
         peers = list(self._peers_by_name.values())
         return [peer.record for peer in draw.sample(peers, min(count, len(peers)))]
 
-    def is_left_out(self, name: str, *, now: float) -> bool:
-        """Tell whether a peer has not answered for several rounds."""
+    def is_excluded(self, name: str, *, now: float) -> bool:
+        """Return whether a peer is excluded for leaving several rounds unanswered."""
         peer = self._peers_by_name.get(name)
-        return peer is not None and now < peer.left_out_until
+        return peer is not None and now < peer.excluded_until
 
     def gossip(
         self,
@@ -157,98 +164,98 @@
         version: int,
         digest: bytes,
         is_answer: bool,
-        is_settled: bool,
+        is_converged: bool,
         evacuations: tuple[Evacuation, ...],
         store_generation: int,
         draw: random.Random,
     ) -> Gossip:
-        """Return this round's message with the news that has rounds left."""
-        records, silences = self._take_news()
+        """Return a message with the queued updates."""
+        records, silences = self._take_updates()
         return self._message(
             version=version,
             digest=digest,
             records=records,
             silences=silences,
             is_answer=is_answer,
-            is_settled=is_settled,
+            is_converged=is_converged,
             evacuations=evacuations,
             store_generation=store_generation,
             draw=draw,
         )
 
-    def quiet_answer(
+    def answer_without_updates(
         self,
         *,
         version: int,
         digest: bytes,
-        is_settled: bool,
+        is_converged: bool,
         evacuations: tuple[Evacuation, ...],
         store_generation: int,
         draw: random.Random,
     ) -> Gossip:
-        """Return an answer for a peer that knows all this balancer knows."""
+        """Return an answer for a peer whose table is equal."""
         return self._message(
             version=version,
             digest=digest,
             records=(),
             silences=(),
             is_answer=True,
-            is_settled=is_settled,
+            is_converged=is_converged,
             evacuations=evacuations,
             store_generation=store_generation,
             draw=draw,
         )
 
-    def _take_news(self) -> tuple[tuple[TargetRecord, ...], tuple[Silence, ...]]:
+    def _take_updates(self) -> tuple[tuple[TargetRecord, ...], tuple[Silence, ...]]:
         records: list[TargetRecord] = []
         silences: list[Silence] = []
-        for news in self._news:
-            match news.item:
+        for update in self._updates:
+            match update.item:
                 case TargetRecord() as item if len(records) < MAX_RECORDS:
                     records.append(item)
                 case Silence() as item if len(silences) < MAX_SILENCES:
                     silences.append(item)
                 case _:
                     continue
-            news.rounds -= 1
-        while self._news and self._news[0].rounds <= 0:
-            self._news.popleft()
+            update.rounds -= 1
+        while self._updates and self._updates[0].rounds <= 0:
+            self._updates.popleft()
         return tuple(records), tuple(silences)
 
     def _message(self, *, draw: random.Random, **content) -> Gossip:
         known = list(self._peers_by_name.values())
         introduced = draw.sample(known, min(INTRODUCED, len(known)))
         records = [peer.record for peer in introduced]
-        if self._introduced_first is not None:
-            records.insert(0, self._introduced_first)
-            self._introduced_first = None
+        if self._newer_record_of_peer is not None:
+            records.insert(0, self._newer_record_of_peer)
+            self._newer_record_of_peer = None
         return Gossip(sender=self._own, balancers=tuple(records), **content)
 
-    def is_copier(self, *, now: float) -> bool:
-        """Tell whether this balancer keeps the copy of the configuration."""
-        reached = self._reached(now=now)
-        return self._own.name in top("configuration copy", reached, count=1)
+    def is_copy_writer(self, *, now: float) -> bool:
+        """Return whether this balancer writes the store's copy of the configuration."""
+        responsive = self._responsive(now=now)
+        return self._own.name in top("configuration copy", responsive, count=1)
 
-    def _reached(self, *, now: float) -> dict[str, str]:
-        """Return the data centres of the balancers that answer, by name."""
+    def _responsive(self, *, now: float) -> dict[str, str]:
+        """Return the data centres of the balancers that aren't excluded, by name."""
         return {
             name: record.data_centre
             for name, record in self.records_by_name.items()
-            if not self.is_left_out(name, now=now)
+            if not self.is_excluded(name, now=now)
         }
 
     def is_watcher(self, *, now: float) -> bool:
-        """Tell whether this balancer is one of the few that watch the platform."""
-        reached = self._reached(now=now)
+        """Return whether this balancer is one of the few that watch the platform."""
+        responsive = self._responsive(now=now)
         own = self._own.data_centre
-        names = [name for name, place in reached.items() if place == own]
-        share = math.ceil(MIN_WATCHERS / len({own, *reached.values()}))
+        names = [name for name, data_centre in responsive.items() if data_centre == own]
+        share = math.ceil(MIN_WATCHERS / len({own, *responsive.values()}))
         count = min(share, MOST_WATCHERS_PER_DATA_CENTRE)
         chosen = top("platform watch", names, count=count)
         return self._own.name in chosen
 
-    def near(self, subject: str, *, count: int, now: float) -> tuple:
-        """Return the balancers that a target's agent should turn to."""
+    def balancers_for(self, target: str, *, count: int, now: float) -> tuple:
+        """Return the balancers to which a target's agent should send heartbeats."""
         records = self.records_by_name
-        names = [n for n in records if not self.is_left_out(n, now=now)]
-        return tuple(records[name] for name in top(subject, names, count=count))
+        names = [n for n in records if not self.is_excluded(n, now=now)]
+        return tuple(records[name] for name in top(target, names, count=count))
--- a/monsoonpier/balancer/registration.py
+++ b/monsoonpier/balancer/registration.py
@@ -1,4 +1,4 @@
-"""A balancer's registration in the store, under a lease."""
+"""Registration of a balancer in the store, under a lease."""
 
 import asyncio
 import random
@@ -21,26 +21,25 @@
 LEASE_TTL_SECONDS = 30
 RENEW_SECONDS = 10.0
 LEAVE_CALL_SECONDS = 2.0
-# After the store's return from a copy all balancers register anew: 460 write twice
-# within this time, and all are back within two seconds of the return.
+# After a restore of the store all balancers register again, spread over this time.
 REGISTER_SPREAD_SECONDS = 0.5
 _log = structlog.get_logger("monsoonpier.balancer.registration")
 
 
 class Registration:
-    """Keeps a balancer's record in the store, and its lease alive.
+    """Keeps a balancer's record in the store and renews its lease.
 
-    A lease of an earlier generation is lost: the store may have given its id to
-    somebody else since, so it is neither renewed nor ended.
+    A lease of an earlier generation of the store is neither renewed nor revoked: the
+    restored store may have given its id to another process.
 
     Args:
         store: The platform's key-value service.
-        peers: Have this balancer's own record.
-        codec: Seals it.
-        generation: The store's generation, as far as it is known.
-        learn_generation: Takes word of the generation that an answer is from.
-        draw: Random numbers for pauses.
-        clock: The steady clock.
+        peers: Hold this balancer's own record.
+        codec: Encodes the record.
+        generation: The newest known generation of the store.
+        learn_generation: Called with the generation of each answer of the store.
+        draw: Random numbers for jitter.
+        clock: The monotonic clock.
     """
 
     def __init__(
@@ -62,18 +61,18 @@
         self._learn_generation = learn_generation
         self._draw = draw
         self._restored = asyncio.Event()
-        self._registered_in = 0
+        self._registered_generation = 0
         self.lease = Lease()
 
-    def restored(self) -> None:
-        """The store has come back from a copy: register anew soon."""
+    def store_restored(self) -> None:
+        """Schedule a new registration, since the store was restored."""
         self._restored.set()
 
     async def leave(self) -> None:
-        """Give the registration back, so that nobody new turns here."""
+        """Revoke the lease, which removes the registration."""
         lease, self.lease = self.lease, self.lease.released()
-        if not lease.id or not self._is_registered_here:
-            return  # The store may have given the lease's id to somebody else.
+        if not lease.id or not self._is_registration_current:
+            return  # The lease's id may belong to another process by now.
         try:
             async with asyncio.timeout(LEAVE_CALL_SECONDS):
                 await self._store.revoke(lease.id)
@@ -81,7 +80,7 @@
             _log.info("lease not revoked", reason=str(error))
 
     async def run(self) -> None:
-        """Register and renew until the balancer leaves, or until cancelled."""
+        """Register, and renew the lease until the balancer leaves."""
         backoff = Backoff()
         while not self._peers.own.leaving:
             try:
@@ -95,7 +94,7 @@
                 backoff = backoff.after_failure()
 
     async def _pause(self, seconds: float) -> None:
-        """Wait until the next call is due, or soon after the store's return."""
+        """Wait for the next call, shorter if the store is restored meanwhile."""
         try:
             await asyncio.wait_for(self._restored.wait(), seconds)
         except TimeoutError:
@@ -104,14 +103,14 @@
         await asyncio.sleep(self._draw.uniform(0.0, REGISTER_SPREAD_SECONDS))
 
     @property
-    def _is_registered_here(self) -> bool:
-        """Whether the registration was written in the store's present generation."""
-        return self._registered_in >= self._generation.number
+    def _is_registration_current(self) -> bool:
+        """Whether the registration was written in the store's current generation."""
+        return self._registered_generation >= self._generation.number
 
     async def keep(self) -> None:
-        """Renew the lease, or take a new one if it has run out meanwhile."""
+        """Renew the lease; register again if it has expired or is of no use."""
         asked_at = self._now()
-        if self.lease.may_act(now=asked_at) and self._is_registered_here:
+        if self.lease.may_act(now=asked_at) and self._is_registration_current:
             try:
                 ttl = await self._store.renew(self.lease.id)
             except LeaseNotFoundError:
@@ -121,7 +120,7 @@
                     ttl_seconds=ttl, asked_at=asked_at, now=self._now()
                 )
             self._learn_generation(Revision(generation=self._store.generation))
-        if not self._is_registered_here and self.lease.may_act(now=self._now()):
+        if not self._is_registration_current and self.lease.may_act(now=self._now()):
             self.lease = self.lease.lost()
         if not self.lease.may_act(now=self._now()):
             await self._register()
@@ -129,15 +128,15 @@
     async def _register(self) -> None:
         asked_at = self._now()
         lease = await self._store.grant(ttl_seconds=LEASE_TTL_SECONDS)
-        granted_in = self._store.generation
+        generation = self._store.generation
         own = self._peers.own
         put = Put(key=BALANCERS + own.name, value=self._codec.encode(own), lease=lease)
         written = await self._store.transact(compares=(), puts=(put,))
         self._learn_generation(written.revision)
-        self._registered_in = min(granted_in, written.revision.generation)
-        if not self._is_registered_here:
-            raise StoreError("the store came back from a copy during a registration")
+        self._registered_generation = min(generation, written.revision.generation)
+        if not self._is_registration_current:
+            raise StoreError("the store was restored during a registration")
         self.lease = self.lease.at(now=asked_at).granted(
             lease, ttl_seconds=LEASE_TTL_SECONDS, asked_at=asked_at
         )
-        _log.info("registered", lease=lease, generation=self._registered_in)
+        _log.info("registered", lease=lease, generation=self._registered_generation)
--- a/monsoonpier/balancer/steering.py
+++ b/monsoonpier/balancer/steering.py
@@ -1,4 +1,4 @@
-"""Choice of a target for a new flow: weighted, the less loaded of two."""
+"""Choice of a target for a new flow, by the power of two random choices."""
 
 import random
 from collections.abc import Sequence
@@ -9,19 +9,19 @@
 
 __all__ = ["Candidate", "Chosen", "NoTarget", "choose"]
 
-FIRST_RAMP_WEIGHT = 0.1  # share of its capacity that a cold target gets at first
+FIRST_RAMP_WEIGHT = 0.1  # share of its capacity at which a cold target starts
 MIN_SPEED_RATIO = 0.2
 MAX_SPEED_RATIO = 5.0
-FULL_SHARE = 1.0  # local targets busier than this overflow to other data centres
+FULL_SHARE = 1.0  # requests per slot above which a local target isn't preferred
 RETRY_AFTER_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Candidate:
-    """A target as one balancer sees it when a flow is opened.
+    """A target with its load, as known to this balancer.
 
-    ``sent_since`` counts the flows that this balancer sent and that no report
-    can know of yet.
+    ``sent_since`` counts the flows that this balancer has sent to the target and that
+    its reports don't include yet.
     """
 
     record: TargetRecord
@@ -31,24 +31,24 @@
 
     @property
     def serves(self) -> bool:
-        """Whether the target takes new flows as long as it has room."""
+        """Whether the target accepts new flows if it isn't full."""
         is_serving = self.load.condition is Condition.SERVING
         return is_serving and self.record.condition < Condition.LEAVING
 
     @property
     def takes_flows(self) -> bool:
-        """Whether the target is believed to accept new flows."""
+        """Whether the target accepts new flows and has connections left."""
         flows = self.load.flows + self.sent_since
         return self.serves and flows < self.record.connections
 
     @property
     def work(self) -> int:
-        """Requests at the target or waiting there."""
+        """Requests that are in flight or queued at the target."""
         return self.load.in_flight + self.load.queued
 
     @property
     def placed(self) -> int:
-        """Flows at the target, with those it can't have reported yet."""
+        """Flows at the target, including those that it hasn't reported yet."""
         return self.load.flows + self.sent_since
 
 
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NoTarget:
-    """No target takes a new flow now."""
+    """No target accepts a new flow now; retry after ``retry_after`` seconds."""
 
     reason: str
     retry_after: float
@@ -76,11 +76,21 @@
     cold_start_seconds: float,
     draw: random.Random,
 ) -> Chosen | NoTarget:
-    """Choose among a service's allowed targets; pure but for the draws given."""
+    """Choose one of a service's allowed targets.
+
+    Args:
+        candidates: The targets.
+        tried: Names of targets that have rejected the flow.
+        data_centre: That of the balancer.
+        prefer: Whether targets of this data centre are preferred.
+        cold_start_seconds: The time over which a new target's weight rises; 0 for
+            none.
+        draw: Random numbers, the only source of randomness.
+    """
     if not candidates:
         return NoTarget(reason="no targets", retry_after=RETRY_AFTER_SECONDS)
     untried = [c for c in candidates if c.record.name not in tried]
-    # A suspected target is a last resort: the suspicion may be wrong.
+    # Suspected targets are a last resort, since the suspicion may be wrong.
     ready = [c for c in untried if c.takes_flows and not c.suspected]
     ready = ready or [c for c in untried if c.takes_flows]
     if not ready:
@@ -96,7 +106,7 @@
 
 
 def capacity(candidate: Candidate, *, cold_start_seconds: float) -> float:
-    """Return slots, scaled down while the target is cold."""
+    """Return a target's slots, scaled down while it is cold."""
     ramp = 1.0
     if cold_start_seconds > 0:
         ramp = candidate.load.age_ms / 1000 / cold_start_seconds
@@ -123,7 +133,7 @@
 
 
 class _Scores:
-    """Compares candidates by work and flows per capacity, slow ones as fuller."""
+    """Scores candidates by requests and flows per capacity, and by service time."""
 
     def __init__(self, ready: list[Candidate], weights: list[float]) -> None:
         self._capacity_by_name = {
@@ -138,10 +148,10 @@
         self._median_ms = timed[len(timed) // 2] if timed else 0
 
     def score(self, candidate: Candidate) -> float:
-        """Return the load relative to the mean; the smaller one is chosen."""
+        """Return the load relative to the mean; smaller is better."""
         capacity = self._capacity_by_name[candidate.record.name]
         work = (candidate.work + candidate.sent_since) / capacity
-        # Flows outlast the cold start, so they count against full capacity.
+        # Flows outlast the cold start, so full capacity counts for them.
         placed = candidate.placed / candidate.record.slots
         relative = work / (self._mean_work + 1) + placed / (self._mean_placed + 1)
         return (relative + 1 / capacity) * self._speed_ratio(candidate)
--- a/monsoonpier/balancer/store_link.py
+++ b/monsoonpier/balancer/store_link.py
@@ -1,4 +1,8 @@
-"""A balancer's dealings with the platform: the watch of few, and the copy."""
+"""The store link of a balancer: registration, watch, polling and configuration copy.
+
+Only a few balancers watch the store; the others learn of changes by gossip and poll it
+rarely.
+"""
 
 import asyncio
 import random
@@ -34,24 +38,24 @@
 
 __all__ = ["EvacuationsRead", "StoreLink"]
 
-WATCH_CHECK_SECONDS = 2.0  # how soon a watcher's place is taken when it dies
-POLL_SECONDS = 60.0  # those who don't watch look this seldom; peers tell them first
-REREAD_SECONDS = 0.2  # a process without configuration serves nothing
+WATCH_CHECK_SECONDS = 2.0  # interval of checks whether this balancer must watch
+POLL_SECONDS = 60.0  # interval of reads by balancers that don't watch
+REREAD_SECONDS = 0.2  # first delay before a failed read or watch is repeated
 MAX_REREAD_SECONDS = 2.0
-JUST_READ_SECONDS = 5.0  # peers tell of those that have registered since
-COPY_SECONDS = 2.0  # a storm of changes is copied this often, not each time
+BALANCERS_FRESH_SECONDS = 5.0  # balancers read within this time aren't read again
+COPY_SECONDS = 2.0  # interval at which the configuration copy is updated
 _log = structlog.get_logger("monsoonpier.balancer.store_link")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EvacuationsRead:
-    """All orders to evacuate that are in the store.
+    """All evacuation orders in the store, as read at one time.
 
     Attributes:
         revisions_by_data_centre: The revision of each order.
-        revision: The store's revision that the reading holds for at least.
-        is_conclusive: Orders that the store lost when it came back from a copy would
-            have been written again by then.
+        revision: The store's revision that was read, or an earlier one.
+        is_conclusive: A missing order is deleted, rather than lost in a restore and
+            not written again yet.
     """
 
     revisions_by_data_centre: dict[str, Revision]
@@ -60,24 +64,25 @@
 
 
 class StoreLink:
-    """Keeps the balancer registered and brings what operators have ordered.
+    """Keeps a balancer registered and reads configuration and evacuation orders.
 
-    The platform's silence never takes anything away: what is known stays. When it
-    comes back from an older copy, in a new generation, the balancer registers anew,
-    reads all that operators ordered, and believes no longer that its copy is there.
+    An outage of the store changes nothing that is in force. When the store was
+    restored from a backup, in a new generation, the balancer registers again and
+    assumes that the configuration copy is lost.
 
     Args:
         store: The platform's key-value service.
-        peers: The balancers that are known; those registered are added.
-        codec: Seals this balancer's registration.
-        copies: A compact copy of the configuration, which is read first.
-        configuration: Takes each value of the configuration.
-        evacuate: Takes orders to evacuate data centres, and their deletions.
-        draw: Random numbers for pauses.
-        clock: The steady clock.
-        generation: The store's generation, which peers tell of too.
-        on_restored: Called with the generation before and the first revision known
-            when the store's answers tell that it has come back from a copy.
+        peers: The known balancers; registered ones are added.
+        codec: Encodes this balancer's registration.
+        copies: Reads and writes the compressed copy of the configuration.
+        configuration: Receives each value of the configuration.
+        evacuate: Called with each evacuation order or deletion, and with all orders
+            after each read.
+        draw: Random numbers for jitter.
+        clock: The monotonic clock.
+        generation: The newest known generation of the store, also from gossip.
+        on_restored: Called with the previous generation and the revision of the
+            answer when an answer of the store reveals a restore.
     """
 
     def __init__(
@@ -104,7 +109,7 @@
         self._draw = draw
         self._generation = generation or StoreGeneration()
         self._on_restored = on_restored
-        self._concluded_in = 0
+        self._conclusive_generation = 0
         self.registration = Registration(
             store=store,
             peers=peers,
@@ -119,22 +124,22 @@
         self._balancers_read_at = -POLL_SECONDS
 
     async def run(self) -> None:
-        """Register, renew, watch, poll and keep the copy until cancelled."""
+        """Register, watch or poll, and maintain the copy until cancelled."""
         await asyncio.gather(
-            self.registration.run(), self._follow_forever(), self._copy_forever()
+            self.registration.run(), self._watch_or_poll_forever(), self._copy_forever()
         )
 
-    def restored(self) -> None:
-        """The store is known to have come back from a copy: write anew what it lost."""
-        self._copies.forget()
-        self.registration.restored()
+    def store_restored(self) -> None:
+        """Write again what a restored store has lost."""
+        self._copies.assume_lost()
+        self.registration.store_restored()
 
     async def leave(self) -> None:
-        """Give the registration back, so that nobody new turns here."""
+        """Revoke the registration."""
         await self.registration.leave()
 
-    async def _follow_forever(self) -> None:
-        await self._begin_with_copy()
+    async def _watch_or_poll_forever(self) -> None:
+        await self._load_copy()
         try:
             while True:
                 is_watcher = self._peers.is_watcher(now=self._now())
@@ -144,20 +149,20 @@
                 elif not is_watcher and running:
                     self._watching.cancel()
                 if not is_watcher and self._now() - self._last_read > POLL_SECONDS:
-                    await self._read_quietly()
-                if is_watcher and self._must_conclude:
-                    await self._conclude_quietly()
+                    await self._try_read()
+                if is_watcher and self._is_conclusive_read_due:
+                    await self._try_conclusive_read()
                 await asyncio.sleep(WATCH_CHECK_SECONDS * self._draw.uniform(0.5, 1.0))
         finally:
             if self._watching is not None:
                 self._watching.cancel()
 
-    async def _begin_with_copy(self) -> None:
-        """Put the copy in force, if there is one, and learn who watches.
+    async def _load_copy(self) -> None:
+        """Put the configuration copy in force, if there is one.
 
-        The copy may be older than what operators wrote last; watchers and peers
-        that know better tell soon. Evacuations are read from their own keys, and
-        for certain.
+        The copy may be outdated; a newer configuration then follows from watchers
+        or peers. Evacuation orders are read without `may_be_old`, since no flow may
+        be placed before they are known.
         """
         try:
             copy = await self._copies.read(may_be_old=True)
@@ -175,12 +180,12 @@
         self._last_read = self._now()
 
     async def _copy_forever(self) -> None:
-        """Keep the copy up to date while this balancer is the one that does."""
+        """Update the copy while this balancer is the one that writes it."""
         while True:
             await asyncio.sleep(COPY_SECONDS * self._draw.uniform(0.9, 1.1))
             version = self._configuration.version
-            is_copier = self._peers.is_copier(now=self._now())
-            if not is_copier or not self._copies.is_old(version):
+            is_copy_writer = self._peers.is_copy_writer(now=self._now())
+            if not is_copy_writer or not self._copies.is_older_than(version):
                 continue
             try:
                 written = await self._copies.write(self._configuration.copy)
@@ -193,7 +198,7 @@
             _log.info("configuration copied", version=version, written=written)
 
     async def _watch(self) -> None:
-        """Read all, then follow every change that an operator makes."""
+        """Read the stored state, then process each change that operators make."""
         backoff = Backoff(first_seconds=REREAD_SECONDS, most_seconds=MAX_REREAD_SECONDS)
         while True:
             try:
@@ -204,16 +209,16 @@
                     backoff = backoff.after_success()
                     self._take_event(event)
             except CompactedError as error:
-                _log.info("watch begins anew", reason=str(error))
-                # Servers of one store that answer in turn from two generations
-                # would have it read without a pause.
+                _log.info("watch restarted", reason=str(error))
+                # Prevents a busy loop if servers of one store answer alternately
+                # from two generations.
                 await asyncio.sleep(REREAD_SECONDS * self._draw.uniform(0.5, 1.0))
             except StoreError as error:
                 _log.info("store unreachable", reason=str(error), key=CONFIGURATION)
                 await asyncio.sleep(backoff.wait_seconds(draw=self._draw))
                 backoff = backoff.after_failure()
 
-    async def _read_quietly(self) -> None:
+    async def _try_read(self) -> None:
         try:
             await self._read()
         except StoreError as error:
@@ -221,10 +226,10 @@
 
     async def _read(self) -> Revision:
         """Read balancers, evacuations and configuration; return the revision."""
-        if self._now() - self._balancers_read_at > JUST_READ_SECONDS:
+        if self._now() - self._balancers_read_at > BALANCERS_FRESH_SECONDS:
             await self._read_balancers()
         stored = await self._store.read(CONFIGURATION, prefix=True)
-        # Nothing is placed without a configuration, so evacuations come first.
+        # Evacuations come first: flows are placed as soon as a configuration is known.
         self._take_evacuations(stored)
         if CONFIGURATION in stored.values_by_key:
             self._configuration.take(stored.values_by_key[CONFIGURATION].value)
@@ -232,41 +237,42 @@
         return stored.revision
 
     @property
-    def _must_conclude(self) -> bool:
-        """Whether orders that the store lost are still held, and long enough.
+    def _is_conclusive_read_due(self) -> bool:
+        """Whether evacuation orders should be read again after a restore.
 
-        A watcher looks once more then; the others hear of it.
+        This is once operators have had the time to write lost orders again. Other
+        balancers learn the result by gossip.
         """
         number = self._generation.number
         is_due = self._generation.is_restated(now=self._now())
-        return self._concluded_in < number and is_due
+        return self._conclusive_generation < number and is_due
 
-    async def _conclude_quietly(self) -> None:
+    async def _try_conclusive_read(self) -> None:
         try:
-            found = await self._store.read(EVACUATIONS, prefix=True)
+            stored = await self._store.read(EVACUATIONS, prefix=True)
         except StoreError as error:
             _log.info("store unreachable", reason=str(error), key=EVACUATIONS)
             return
-        self._take_evacuations(found)
+        self._take_evacuations(stored)
 
-    def _take_evacuations(self, found: Snapshot) -> None:
-        self._learn_generation(found.revision)
+    def _take_evacuations(self, stored: Snapshot) -> None:
+        self._learn_generation(stored.revision)
         is_conclusive = self._generation.is_restated(now=self._now())
         if is_conclusive:
-            self._concluded_in = found.revision.generation
-        self._evacuate(_evacuations_in(found, is_conclusive=is_conclusive))
+            self._conclusive_generation = stored.revision.generation
+        self._evacuate(_evacuations_in(stored, is_conclusive=is_conclusive))
 
     def _learn_generation(self, revision: Revision) -> None:
-        """Take word of the generation that an answer of the store is from."""
+        """Process the generation of an answer of the store, and detect a restore."""
         old = self._generation.number
         if self._generation.learn(revision.generation, source="store", now=self._now()):
-            self.restored()
+            self.store_restored()
             self._on_restored(old, revision)
 
     async def _read_balancers(self, *, may_be_old: bool = False) -> None:
-        found = await self._store.read(BALANCERS, prefix=True, may_be_old=may_be_old)
+        stored = await self._store.read(BALANCERS, prefix=True, may_be_old=may_be_old)
         self._balancers_read_at = self._now()
-        for record in registered_balancers(found, codec=self._codec):
+        for record in registered_balancers(stored, codec=self._codec):
             self._peers.learn(record)
 
     def _take_event(self, event: WatchEvent) -> None:
@@ -281,14 +287,14 @@
             self._evacuate(order)
 
 
-def _evacuations_in(found: Snapshot, *, is_conclusive: bool) -> EvacuationsRead:
+def _evacuations_in(stored: Snapshot, *, is_conclusive: bool) -> EvacuationsRead:
     revisions_by_data_centre = {
         key.removeprefix(EVACUATIONS): value.mod_revision
-        for key, value in found.values_by_key.items()
+        for key, value in stored.values_by_key.items()
         if key.startswith(EVACUATIONS)
     }
     return EvacuationsRead(
         revisions_by_data_centre=revisions_by_data_centre,
-        revision=found.revision,
+        revision=stored.revision,
         is_conclusive=is_conclusive,
     )
--- a/monsoonpier/balancer/stored_configuration.py
+++ b/monsoonpier/balancer/stored_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration's value as operators stored it: taken, and handed on packed."""
+"""The configuration as operators stored it, put in force and compressed for others."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -13,18 +13,19 @@
 
 __all__ = ["STORED_FORMAT", "ConfigurationFormat", "StoredConfiguration"]
 
-ALL_SERVICES = ""  # in place of a service's name: the whole value
-MAX_TOLD_FINDINGS = 20  # a line each; a log line's readers cut longer ones
+ALL_SERVICES = ""  # stands for the whole value in place of a service's name
+MAX_LOGGED_FINDINGS = 20
 _log = structlog.get_logger("monsoonpier.balancer.stored_configuration")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigurationFormat:
-    """How the store's value is read, and how it is packed for others.
+    """The format of the stored configuration.
 
     Attributes:
-        decode: Returns the configuration; raises ``ValueError`` if it is none.
-        pack: Returns the value compressed, cut down to a service if one is named.
+        decode: Returns the configuration in a stored value; raises ``ValueError`` if
+            the value is invalid.
+        pack: Compresses a stored value, reduced to one service if one is named.
     """
 
     decode: Callable[[bytes], Configuration]
@@ -37,11 +38,11 @@
 
 
 class StoredConfiguration:
-    """Puts values in force unless they are older, and packs the one in force.
+    """Puts newer configurations in force and compresses the current one for others.
 
     Args:
-        membership: Decides on versions and holds what is in force.
-        configuration_format: How values are read and packed.
+        membership: Holds the configuration in force and compares versions.
+        configuration_format: Decodes and compresses stored values.
         on_configured: Called after a newer configuration is in force.
     """
 
@@ -60,45 +61,47 @@
 
     @property
     def version(self) -> int:
-        """The version in force; 0 if there is none."""
+        """The version of the configuration in force; 0 if there is none."""
         return self._membership.configuration.version
 
     @property
     def copy(self) -> ConfigurationCopy:
-        """What is in force, for the store."""
+        """The configuration in force as a copy for the store."""
         return ConfigurationCopy(version=self.version, packed=self.packed(ALL_SERVICES))
 
     def take(self, value: bytes) -> None:
-        """Put the store's value in force unless it is older than the one held."""
+        """Put a stored value in force if it is newer than the current one."""
         try:
             configuration = self._format.decode(value)
         except ValueError as error:
             _log.error("stored configuration not usable", reason=str(error))
             return
-        held = self.version
+        current = self.version
         if self._membership.configure(configuration):
             self._value = value
             self._packed_by_service.clear()
             _log.info("configuration in force", version=configuration.version)
-            self._tell_findings(configuration)
+            self._log_findings(configuration)
             self._on_configured()
-        elif configuration.version < held:
+        elif configuration.version < current:
             _log.warning(
-                "older configuration refused", offered=configuration.version, held=held
+                "older configuration rejected",
+                offered=configuration.version,
+                held=current,
             )
 
-    def _tell_findings(self, configuration: Configuration) -> None:
+    def _log_findings(self, configuration: Configuration) -> None:
         if not configuration.findings:
             return
         _log.warning(
-            "configuration in force in part",
+            "configuration partly in force; invalid entries ignored",
             version=configuration.version,
             findings=len(configuration.findings),
-            first=report(configuration.findings[:MAX_TOLD_FINDINGS]),
+            first=report(configuration.findings[:MAX_LOGGED_FINDINGS]),
         )
 
     def take_packed(self, packed: bytes) -> None:
-        """Put a value in force that a peer or a copy has packed."""
+        """Put a compressed value of a peer or a copy in force if it is newer."""
         try:
             value = unpack(packed)
         except ValueError as error:
@@ -107,11 +110,11 @@
         self.take(value)
 
     def packed(self, service: str) -> bytes:
-        """Return what a peer (`ALL_SERVICES`) or an agent of a service is given."""
+        """Return the compressed value for a service's agents, or `ALL_SERVICES`."""
         if service in self._packed_by_service:
             return self._packed_by_service[service]
         packed = self._format.pack(self._value, service)
-        # Names that nobody declared must not fill the memory.
+        # Requests that name undeclared services must not fill the cache.
         declared = self._membership.configuration.services_by_name
         if service == ALL_SERVICES or service in declared:
             self._packed_by_service[service] = packed
--- a/monsoonpier/balancer/table.py
+++ b/monsoonpier/balancer/table.py
@@ -1,4 +1,4 @@
-"""What a balancer knows of targets: records, loads, and who is silent."""
+"""A balancer's table of targets: their records, loads and suspected failures."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -13,14 +13,14 @@
 
 __all__ = ["TargetTable"]
 
-SUSPECT_SECONDS = 3.0  # three heartbeats: one lost or late datagram is not enough
-FORGET_SECONDS = 120.0  # a suspected target is forgotten after this
-GONE_SECONDS = 30.0  # a record of a gone target is kept to spread the news
-WITNESSES_NEEDED = 2  # a cut between one witness and one agent convinces nobody
+SUSPECT_SECONDS = 3.0  # without a heartbeat; agents send one a second
+FORGET_SECONDS = 120.0  # a suspected target is removed after this
+GONE_SECONDS = 30.0  # the record of a gone target is kept as a tombstone
+OBSERVERS_NEEDED = 2  # one may just be cut off from the agent
 UNANSWERED_LIMIT = 2  # one SYN or its answer may just be lost
-ANSWER_SECONDS = 0.2  # an agent answers a new flow in a few milliseconds
-STALE_SECONDS = 0.5  # ten runs: by then nothing is known of slots
-FAILED_STALE_SECONDS = 10.0  # a target that failed then may be tried again
+ANSWER_SECONDS = 0.2  # a new flow without an answer by then counts as lost
+STALE_SECONDS = 0.5  # older reports of requests in flight are ignored
+FAILED_STALE_SECONDS = 10.0  # older reports of failed requests are ignored
 BUCKETS = 16
 DIGEST_BYTES = 8
 
@@ -30,20 +30,21 @@
     record: TargetRecord
     load: LoadReport
     learned_at: float
-    heard_at: float | None = None  # directly, by this balancer
-    is_witnessed: bool = False  # its heartbeats come to this balancer
-    sent_since: int = 0
-    sent_at: float = 0.0
-    loaded_at: float = 0.0  # when the load was taken
+    heard_at: float | None = None  # last frame of its agent to this balancer
+    is_observed: bool = False  # its agent sends heartbeats to this balancer
+    sent_since: int = 0  # new flows sent that its reports don't include yet
+    sent_at: float = 0.0  # when the last of them was sent
+    load_received_at: float = 0.0
     unanswered: int = 0  # new flows in a row that got no answer
-    silent_witnesses: dict[str, float] = field(default_factory=dict)
+    # Balancers that miss its heartbeats, with the time when that was learned.
+    silent_observers: dict[str, float] = field(default_factory=dict)
 
 
 class TargetTable:
-    """The targets by name. Does no I/O; the time is always an argument.
+    """The known targets by name. Does no I/O; the time is always an argument.
 
     Attributes:
-        evacuated: Data centres whose targets are no candidates for new flows.
+        evacuated: Data centres whose targets get no new flows.
     """
 
     def __init__(self) -> None:
@@ -57,61 +58,64 @@
         return len(self._entries_by_name)
 
     def record(self, name: str) -> TargetRecord | None:
-        """Return a target's record, if it is known."""
+        """Return the record of a target, if it is known."""
         entry = self._entries_by_name.get(name)
         return entry.record if entry else None
 
     def name_at(self, endpoint: tuple[str, int]) -> str:
-        """Return the name of the target whose agent has that address, or nothing."""
+        """Return the name of the target whose agent has an address, or ``""``."""
         return self._names_by_endpoint.get(endpoint, "")
 
     @property
     def records(self) -> list[TargetRecord]:
-        """All records, in no order."""
+        """All records, in no particular order."""
         return [entry.record for entry in self._entries_by_name.values()]
 
-    # Learning
+    # Updates
 
     def learn(self, record: TargetRecord, *, now: float) -> bool:
-        """Take a record if it is newer than the one held; tell if it was."""
+        """Store a record if it is newer than the known one; return whether it was."""
         entry = self._entries_by_name.get(record.name)
         if entry is None:
             self._entries_by_name[record.name] = _Entry(
                 record=record,
                 load=LoadReport(number=0, condition=record.condition),
-                loaded_at=now,
+                load_received_at=now,
                 learned_at=now,
             )
         elif record.rank <= entry.record.rank:
             return False
         else:
-            self._unlist(entry.record)
+            self._remove_from_index(entry.record)
             earlier = entry.record
             entry.record = record
             entry.learned_at = now
-            entry.silent_witnesses.clear()
-            # What the agent announces is newer than its last report.
+            entry.silent_observers.clear()
+            # The announced condition is newer than the one in the last report.
             entry.load = msgspec.structs.replace(entry.load, condition=record.condition)
             if record.epoch != earlier.epoch:
-                self._forget_load(entry, number=0, now=now)
+                self._reset_load(entry, number=0, now=now)
             elif record.instance != earlier.instance and earlier.instance:
-                # The same agent goes on counting its reports.
-                self._forget_load(entry, number=entry.load.number, now=now)
+                # The agent is the same process and continues its numbering.
+                self._reset_load(entry, number=entry.load.number, now=now)
         self._names_by_service.setdefault(record.service, set()).add(record.name)
-        self._toggle(record)
+        self._toggle_digest(record)
         if record.condition is not Condition.GONE:
             self._replace_at_endpoint(record, now=now)
         return True
 
-    def _forget_load(self, entry: _Entry, *, number: int, now: float) -> None:
-        """Start anew with a run of the target of which nothing is known yet."""
+    def _reset_load(self, entry: _Entry, *, number: int, now: float) -> None:
+        """Discard the load of an earlier process of the target."""
         entry.load = LoadReport(number=number, condition=entry.record.condition)
-        entry.loaded_at = now
+        entry.load_received_at = now
         entry.sent_since = 0
         entry.unanswered = 0
 
     def _replace_at_endpoint(self, record: TargetRecord, *, now: float) -> None:
-        """End the earlier target of an address that now belongs to another."""
+        """Mark the earlier target of an agent's address as gone.
+
+        If the earlier target's record has a later epoch, it keeps the address.
+        """
         endpoint = (record.ip, record.port)
         earlier = self._names_by_endpoint.get(endpoint, record.name)
         self._names_by_endpoint[endpoint] = record.name
@@ -125,7 +129,7 @@
             self._names_by_endpoint[endpoint] = record.name
 
     def heard(self, name: str, load: LoadReport, *, now: float) -> None:
-        """Take a report that came straight from the target's agent."""
+        """Record a load report received directly from the target's agent."""
         entry = self._entries_by_name.get(name)
         if entry is None:
             return
@@ -133,89 +137,94 @@
         entry.unanswered = 0
         if load.number > entry.load.number:
             entry.load = load
-            entry.loaded_at = now
+            entry.load_received_at = now
 
-    def beaten(self, name: str, load: LoadReport, *, now: float) -> None:
-        """Take a heartbeat: this balancer is a witness of the target."""
+    def record_heartbeat(self, name: str, load: LoadReport, *, now: float) -> None:
+        """Record a heartbeat, which makes this balancer an observer of the target."""
         self.heard(name, load, now=now)
         entry = self._entries_by_name.get(name)
         if entry is not None:
-            entry.is_witnessed = True
-            # An OPEN whose answer was lost must not count for ever.
+            entry.is_observed = True
+            # Otherwise an OPEN whose answer was lost would count forever.
             entry.sent_since = 0
 
     def sent_flow(self, name: str, *, now: float) -> None:
-        """Count a flow that was sent to a target and not answered yet."""
+        """Count a new flow that was sent to a target and is not yet answered."""
         entry = self._entries_by_name.get(name)
         if entry is not None:
             entry.sent_since += 1
             entry.sent_at = now
 
     def answered_flow(self, name: str) -> None:
-        """Note that the target's reports know of one flow more."""
+        """Record that one more of the flows sent is included in the reports."""
         entry = self._entries_by_name.get(name)
         if entry is not None and entry.sent_since:
             entry.sent_since -= 1
 
     def not_answered(self, name: str) -> None:
-        """Note that a new flow that was sent there got no answer in time."""
+        """Record that a new flow sent to a target got no answer in time."""
         entry = self._entries_by_name.get(name)
         if entry is not None:
             entry.unanswered += 1
 
-    def hear_silence(self, silence: Silence, *, now: float) -> bool:
-        """Take a witness's word on a target; tell whether it was news."""
+    def record_silence(self, silence: Silence, *, now: float) -> bool:
+        """Record an observer's report on a target; return whether it was new."""
         entry = self._entries_by_name.get(silence.name)
         if entry is None or entry.record.epoch != silence.epoch:
             return False
-        known = silence.witness in entry.silent_witnesses
+        known = silence.observer in entry.silent_observers
         if silence.silent:
-            entry.silent_witnesses[silence.witness] = now
+            entry.silent_observers[silence.observer] = now
         else:
-            entry.silent_witnesses.pop(silence.witness, None)
+            entry.silent_observers.pop(silence.observer, None)
         return known != silence.silent
 
-    def own_silences(self, *, witness: str, now: float) -> list[Silence]:
-        """Return what has changed in this balancer's own view of silence."""
+    def changed_silences(self, *, observer: str, now: float) -> list[Silence]:
+        """Check the observed targets; return reports of those whose silence changed.
+
+        Args:
+            observer: The name of this balancer.
+            now: The present time.
+        """
         changed = []
         for name, entry in self._entries_by_name.items():
-            if not entry.is_witnessed or entry.heard_at is None:
+            if not entry.is_observed or entry.heard_at is None:
                 continue
             silent = now - entry.heard_at > SUSPECT_SECONDS
-            if silent == (witness in entry.silent_witnesses):
+            if silent == (observer in entry.silent_observers):
                 continue
             silence = Silence(
-                name=name, epoch=entry.record.epoch, witness=witness, silent=silent
+                name=name, epoch=entry.record.epoch, observer=observer, silent=silent
             )
-            self.hear_silence(silence, now=now)
+            self.record_silence(silence, now=now)
             changed.append(silence)
         return changed
 
-    def forget(self, *, now: float) -> None:
-        """Drop targets that are long gone or long silent."""
+    def remove_expired(self, *, now: float) -> None:
+        """Remove targets that have been gone or suspected for long."""
         for name, entry in list(self._entries_by_name.items()):
             age = now - entry.learned_at
             if entry.record.condition is Condition.GONE and age > GONE_SECONDS:
-                self._drop(name)
+                self._remove(name)
                 continue
-            oldest = min(entry.silent_witnesses.values(), default=now)
+            oldest = min(entry.silent_observers.values(), default=now)
             if self._is_suspected(entry, now=now) and now - oldest > FORGET_SECONDS:
-                self._drop(name)
+                self._remove(name)
 
-    def _drop(self, name: str) -> None:
+    def _remove(self, name: str) -> None:
         record = self._entries_by_name.pop(name).record
-        self._unlist(record)
+        self._remove_from_index(record)
         if self._names_by_endpoint.get((record.ip, record.port)) == name:
             del self._names_by_endpoint[(record.ip, record.port)]
 
-    def _unlist(self, record: TargetRecord) -> None:
+    def _remove_from_index(self, record: TargetRecord) -> None:
         self._names_by_service.get(record.service, set()).discard(record.name)
-        self._toggle(record)
+        self._toggle_digest(record)
 
-    # Reading
+    # Queries
 
     def candidates(self, service: Service, *, now: float) -> list[Candidate]:
-        """Return the targets that may serve new flows, as they are known now."""
+        """Return the targets that the configuration allows for a service's flows."""
         names = self._names_by_service.get(service.name, ())
         return [
             self._candidate(self._entries_by_name[name], now=now)
@@ -224,7 +233,10 @@
         ]
 
     def candidates_of(self, service: str, *, now: float) -> list[Candidate]:
-        """Return the targets of a service whose flows carry no token."""
+        """Return the targets of a service whose flows carry no token.
+
+        Outdated counts in their loads are reset first.
+        """
         names = self._names_by_service.get(service, ())
         entries = [
             self._entries_by_name[name]
@@ -233,16 +245,17 @@
         ]
         for entry in entries:
             if entry.sent_since and now - entry.sent_at > ANSWER_SECONDS:
-                entry.sent_since = 0  # What is not answered by now was lost.
-            if entry.load.in_flight and now - entry.loaded_at > STALE_SECONDS:
-                # Runs have ended since; a wrong guess is turned away with news.
+                entry.sent_since = 0  # Unanswered flows count as lost by now.
+            if entry.load.in_flight and now - entry.load_received_at > STALE_SECONDS:
+                # The requests have probably ended. If not, the agent rejects the
+                # flow and reports its load with that.
                 entry.load = msgspec.structs.replace(entry.load, in_flight=0)
             if entry.load.failed_percent:
-                self._forgive(entry, now=now)
+                self._expire_failures(entry, now=now)
         return [self._candidate(entry, now=now) for entry in entries]
 
     def is_served(self, service: str, *, now: float) -> bool:
-        """Tell whether any target of a service takes new flows, if it has room."""
+        """Return whether any target of a service takes new flows, if not full."""
         candidates = (
             self._candidate(self._entries_by_name[name], now=now)
             for name in self._names_by_service.get(service, ())
@@ -254,30 +267,30 @@
         record = self._entries_by_name[name].record
         return record.data_centre in self.evacuated
 
-    def witnessed_in(self, data_centre: str) -> list[TargetRecord]:
-        """Return the targets there whose heartbeats come to this balancer."""
+    def observed_in(self, data_centre: str) -> list[TargetRecord]:
+        """Return the targets in a data centre that send heartbeats to this balancer."""
         return [
             entry.record
             for entry in self._entries_by_name.values()
-            if entry.is_witnessed and entry.record.data_centre == data_centre
+            if entry.is_observed and entry.record.data_centre == data_centre
         ]
 
-    def _forgive(self, entry: _Entry, *, now: float) -> None:
-        if now - entry.loaded_at > FAILED_STALE_SECONDS:
+    def _expire_failures(self, entry: _Entry, *, now: float) -> None:
+        if now - entry.load_received_at > FAILED_STALE_SECONDS:
             entry.load = msgspec.structs.replace(entry.load, failed_percent=0)
 
     def known_for(self, name: str, *, now: float) -> float:
-        """Return seconds since a target's record was learned as it is."""
+        """Return seconds since the current record of a target was learned."""
         entry = self._entries_by_name.get(name)
         return now - entry.learned_at if entry is not None else 0.0
 
     def load_age(self, name: str, *, now: float) -> float:
-        """Return seconds since a target's load was taken."""
+        """Return seconds since the last load report of a target was received."""
         entry = self._entries_by_name.get(name)
-        return now - entry.loaded_at if entry is not None else 0.0
+        return now - entry.load_received_at if entry is not None else 0.0
 
     def names_of(self, service: str) -> set[str]:
-        """Return the names of a service's targets that have not ended."""
+        """Return the names of a service's targets that are not gone."""
         return {
             name
             for name in self._names_by_service.get(service, ())
@@ -285,7 +298,7 @@
         }
 
     def all_candidates(self, *, now: float) -> list[Candidate]:
-        """Return every target, allowed or not."""
+        """Return all targets, whether or not the configuration allows them."""
         return [self._candidate(e, now=now) for e in self._entries_by_name.values()]
 
     def _candidate(self, entry: _Entry, *, now: float) -> Candidate:
@@ -297,31 +310,37 @@
         )
 
     def _is_suspected(self, entry: _Entry, *, now: float) -> bool:
-        """Hearing it oneself outweighs any number of witnesses."""
+        """Return whether a target is believed to have failed.
+
+        It is not while this balancer itself receives its heartbeats, whatever other
+        observers report.
+        """
         if entry.unanswered >= UNANSWERED_LIMIT:
             return True
         if entry.heard_at is not None and now - entry.heard_at <= SUSPECT_SECONDS:
             return False
-        return len(entry.silent_witnesses) >= WITNESSES_NEEDED
+        return len(entry.silent_observers) >= OBSERVERS_NEEDED
 
-    # Comparing with a peer
+    # Comparison with a peer's table
 
     @property
     def bucket_digests(self) -> tuple[bytes, ...]:
-        """One digest per bucket of names; equal tables have equal digests."""
+        """One digest per bucket of target names; equal tables have equal digests."""
         return tuple(s.to_bytes(DIGEST_BYTES, "big") for s in self._bucket_sums)
 
     @property
     def digest(self) -> bytes:
-        """One digest of the whole table."""
+        """The digest of the whole table."""
         return blake2b(b"".join(self.bucket_digests), digest_size=DIGEST_BYTES).digest()
 
-    def _toggle(self, record: TargetRecord) -> None:
-        # An exclusive or is undone by itself: a change costs the same at any size.
+    def _toggle_digest(self, record: TargetRecord) -> None:
+        # With XOR the same operation adds and removes a record, in constant time.
         self._bucket_sums[_bucket(record.name)] ^= _record_sum(record)
 
-    def records_unlike(self, digests: Iterable[bytes]) -> tuple[TargetRecord, ...]:
-        """Return the records of the buckets whose digests differ from these."""
+    def records_in_differing_buckets(
+        self, digests: Iterable[bytes]
+    ) -> tuple[TargetRecord, ...]:
+        """Return the records of the buckets whose digests differ from ``digests``."""
         differing = {
             number
             for number, (own, other) in enumerate(
--- a/monsoonpier/balancer/tokens/__init__.py
+++ b/monsoonpier/balancer/tokens/__init__.py
@@ -1,1 +1,1 @@
-"""Balancers of flows whose packets carry a token: the decision, and the process."""
+"""Balancer for flows whose packets carry a token."""
--- a/monsoonpier/balancer/tokens/decision.py
+++ b/monsoonpier/balancer/tokens/decision.py
@@ -1,4 +1,4 @@
-"""The balancer's decisions: packets and time in, datagrams out."""
+"""Decisions of a balancer of flows with tokens."""
 
 import random
 from collections import Counter
@@ -29,13 +29,13 @@
 
 __all__ = ["Balancer"]
 
-MAX_TRIES = 3  # candidates asked for one OPEN
+MAX_ATTEMPTS = 3  # targets that one OPEN is sent to
 
 
 class Balancer:
-    """Steers packets by their token and places new flows. Does no I/O.
+    """Forwards packets by their token and places new flows. Does no I/O.
 
-    Nothing here grows with the number of flows.
+    It keeps no state per flow.
     """
 
     def __init__(
@@ -50,12 +50,12 @@
 
     @property
     def peers(self) -> Peers:
-        """The balancers that this one knows."""
+        """The known balancers."""
         return self.membership.peers
 
     @property
     def table(self) -> TargetTable:
-        """The targets that this balancer knows."""
+        """The known targets."""
         return self.membership.table
 
     @property
@@ -63,7 +63,7 @@
         """The configuration in force."""
         return self.membership.configuration
 
-    # Callers' packets
+    # Datagrams from callers
 
     def from_caller(
         self,
@@ -74,7 +74,7 @@
         now: float,
         draw: random.Random,
     ) -> ToAgent | ToCaller | None:
-        """Decide on a packet that came to a service's address."""
+        """Process a datagram received at a service's address; return the action."""
         message = caller_codec.decode(payload)
         if isinstance(message, Dropped):
             return self._drop(message.reason)
@@ -111,14 +111,14 @@
         draw: random.Random,
         retry_after: float = 0.0,
     ) -> ToAgent | ToCaller:
-        declared = self.configuration.services_by_name.get(service)
+        configured = self.configuration.services_by_name.get(service)
         choice: Chosen | NoTarget
-        if declared is None:
+        if configured is None:
             choice = NoTarget(reason="no such service", retry_after=1.0)
-        elif len(tried) >= MAX_TRIES:
+        elif len(tried) >= MAX_ATTEMPTS:
             choice = NoTarget(reason="no target is free", retry_after=1.0)
         else:
-            choice = self._choose(declared, tried=tried, now=now, draw=draw)
+            choice = self._choose(configured, tried=tried, now=now, draw=draw)
         match choice:
             case Chosen(record=record):
                 self.opens_by_result["placed"] += 1
@@ -134,13 +134,13 @@
             case NoTarget(reason=reason, retry_after=seconds):
                 self.opens_by_result["refused"] += 1
                 seconds = max(seconds, retry_after) * draw.uniform(0.5, 1.5)
-                refusal = OpenRefused(
+                rejection = OpenRefused(
                     flow=flow, reason=reason, retry_after_ms=int(seconds * 1000)
                 )
                 return ToCaller(
                     service=service,
                     endpoint=caller,
-                    payload=reply_codec.encode(refusal),
+                    payload=reply_codec.encode(rejection),
                 )
 
     def _choose(
@@ -165,7 +165,7 @@
     def from_process(
         self, frame, *, sender: tuple[str, int], now: float, draw: random.Random
     ) -> list:
-        """Decide on a frame that came to the internal address."""
+        """Process a frame received at the internal address; return actions."""
         match frame:
             case Return():
                 self.table.heard(frame.agent, frame.load, now=now)
@@ -180,14 +180,17 @@
                     )
                 ]
             case Bounce():
-                return self._bounced(frame, now=now, draw=draw)
+                return self._place_returned_open(frame, now=now, draw=draw)
         actions = self.membership.from_process(frame, sender=sender, now=now, draw=draw)
         if actions is None:
             self._drop("unexpected")
             return []
         return actions
 
-    def _bounced(self, frame: Bounce, *, now: float, draw: random.Random) -> list:
+    def _place_returned_open(
+        self, frame: Bounce, *, now: float, draw: random.Random
+    ) -> list:
+        """Send an OPEN that an agent rejected to another target."""
         self.table.heard(frame.agent, frame.load, now=now)
         self.table.answered_flow(frame.agent)
         self.opens_by_result["bounced"] += 1
--- a/monsoonpier/balancer/tokens/process.py
+++ b/monsoonpier/balancer/tokens/process.py
@@ -1,4 +1,4 @@
-"""The balancer's process: service sockets around the decisions on tokens."""
+"""The process of a balancer of flows with tokens: its sockets and tasks."""
 
 import asyncio
 import random
@@ -23,13 +23,13 @@
 __all__ = ["BalancerProcess"]
 
 BIND_RETRY_SECONDS = 1.0
-QUIET_SECONDS = 1.0  # a leaving balancer that has passed nothing this long may stop
-LEAVE_SECONDS = 10.0  # by now the fabric must have noticed
+QUIET_SECONDS = 1.0  # without packets of callers, after which shutdown is complete
+LEAVE_SECONDS = 10.0  # limit of a shutdown, even if packets still arrive
 _log = structlog.get_logger("monsoonpier.balancer.tokens.process")
 
 
 class BalancerProcess:
-    """Runs one balancer until it has left."""
+    """Runs one balancer until its shutdown is complete."""
 
     def __init__(self, *, settings: Settings) -> None:
         assert settings.internal and settings.control and settings.metrics
@@ -61,10 +61,10 @@
             read_metrics=self._metrics,
             is_ready=lambda: self._life.is_ready,
         )
-        self._last_passed = 0.0
+        self._last_packet_at = 0.0
 
     async def run(self) -> None:
-        """Serve until asked to leave and traffic has moved.
+        """Serve until shutdown is requested and traffic has moved away.
 
         Raises:
             OSError: If a port is taken.
@@ -83,7 +83,7 @@
         await self._member.leave()
         while _now() - began < LEAVE_SECONDS:
             await asyncio.sleep(0.1)
-            if _now() - max(self._last_passed, began) > QUIET_SECONDS:
+            if _now() - max(self._last_packet_at, began) > QUIET_SECONDS:
                 break
         self._life.step("finished")
 
@@ -94,13 +94,13 @@
         await self._member.stop()
         _log.info("stopped")
 
-    # Datagrams
+    # Packets and frames
 
     def _receive_packet(
         self, service: str, data: bytes, sender: tuple[str, int]
     ) -> None:
         now = _now()
-        self._last_passed = now
+        self._last_packet_at = now
         action = self._balancer.from_caller(
             data, caller=sender, service=service, now=now, draw=self._draw
         )
@@ -127,7 +127,7 @@
     # Service sockets
 
     async def _bind_forever(self) -> None:
-        """Keep one socket per service's address, retrying ports that are taken."""
+        """Keep a socket bound to each service's address; retry ports in use."""
         while True:
             await self._rebind.wait()
             self._rebind.clear()
@@ -139,16 +139,16 @@
 
     async def _bind_all(self) -> bool:
         services = self._balancer.configuration.services_by_name
-        wanted = {
+        endpoints = {
             name: self._bind_address(service.address)
             for name, service in services.items()
         }
         for name, socket in list(self._sockets_by_service.items()):
-            if wanted.get(name) != socket.address.endpoint:
+            if endpoints.get(name) != socket.address.endpoint:
                 socket.close()
                 del self._sockets_by_service[name]
         complete = True
-        for name, (ip, port) in wanted.items():
+        for name, (ip, port) in endpoints.items():
             if name in self._sockets_by_service:
                 continue
             receive = partial(self._receive_packet, name)
@@ -167,24 +167,30 @@
     def _metrics(self):
         balancer = self._balancer
         uptime = _now() - self._started
-        yield gauge("uptime_seconds", "Time since start.", uptime)
-        yield gauge("targets", "Targets known.", len(balancer.table))
+        yield gauge("uptime_seconds", "Seconds since start.", uptime)
+        yield gauge("targets", "Known targets.", len(balancer.table))
         yield gauge(
-            "balancers", "Balancers known.", len(balancer.peers.records_by_name)
+            "balancers", "Known balancers.", len(balancer.peers.records_by_name)
         )
         yield gauge(
             "configuration_version",
-            "Configuration version in force.",
+            "Version of the configuration in force.",
             balancer.configuration.version,
         )
-        passed = {"to_agents": balancer.forwarded, "to_callers": balancer.returned}
-        yield counter("passed_datagrams", "Datagrams passed.", passed, "direction")
-        yield counter("opens", "OPENs by result.", balancer.opens_by_result, "result")
+        forwarded = {"to_agents": balancer.forwarded, "to_callers": balancer.returned}
+        yield counter(
+            "passed_datagrams", "Forwarded datagrams.", forwarded, "direction"
+        )
+        yield counter(
+            "opens", "Placement decisions.", balancer.opens_by_result, "result"
+        )
         drops = balancer.dropped_by_reason + Counter(self._member.dropped_by_reason)
-        yield counter("dropped_datagrams", "Datagrams not used.", drops, "reason")
+        yield counter("dropped_datagrams", "Dropped datagrams.", drops, "reason")
         control = self._member.bytes_by_direction
         yield from self._sender.readings
-        yield counter("control_bytes", "Control traffic.", control, "direction")
+        yield counter(
+            "control_bytes", "Bytes of control traffic.", control, "direction"
+        )
         calls = {"all": self._store.calls}
         yield counter("platform_calls", "Calls to the platform.", calls, "kind")
 
--- a/monsoonpier/wire/__init__.py
+++ b/monsoonpier/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages and their codecs, one module per conversation."""
+"""Message types exchanged between processes, and their codecs."""
--- a/monsoonpier/wire/codec.py
+++ b/monsoonpier/wire/codec.py
@@ -1,11 +1,11 @@
-"""Decoding that never raises: a message, or the reason why it was dropped."""
+"""Message codec whose decoder reports bad input instead of raising."""
 
 from dataclasses import dataclass
 from typing import Annotated, Any
 
 import msgspec
 
-__all__ = ["Codec", "Dropped", "FlowId", "Name", "Short"]
+__all__ = ["Codec", "Dropped", "FlowId", "Name", "Reason"]
 
 PROTOCOL_VERSION = 1
 FLOW_ID_BYTES = 16
@@ -15,20 +15,23 @@
 ]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 MAX_REASON = 120  # characters
-Short = Annotated[str, msgspec.Meta(max_length=MAX_REASON)]
+Reason = Annotated[str, msgspec.Meta(max_length=MAX_REASON)]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Dropped:
-    """A datagram that was not used; ``reason`` labels the drop counter."""
+    """The result for a datagram that can't be decoded.
+
+    ``reason`` labels the counter of dropped datagrams.
+    """
 
     reason: str
 
 
 class Codec:
-    """Encodes and decodes the messages of one conversation.
+    """Encodes and decodes the messages of one protocol.
 
-    A datagram is the protocol's version in one byte and then the message in
+    A datagram is one byte with the protocol version, followed by the message in
     MessagePack.
     """
 
@@ -39,11 +42,11 @@
         self._prefix = bytes((PROTOCOL_VERSION,))
 
     def encode(self, message: msgspec.Struct) -> bytes:
-        """Return the message's datagram."""
+        """Return the datagram for a message."""
         return self._prefix + self._encode(message)
 
     def decode(self, data: bytes) -> Any:
-        """Return the message in ``data``, or a `Dropped` that says why not."""
+        """Return the message in ``data``, or a `Dropped` with the reason."""
         if len(data) > self._max_bytes:
             return Dropped(reason="oversized")
         if len(data) < 2:
--- a/monsoonpier/wire/control.py
+++ b/monsoonpier/wire/control.py
@@ -1,4 +1,4 @@
-"""Conversations over ZeroMQ: configuration, tables and status between processes."""
+"""Control messages that processes exchange over ZeroMQ."""
 
 from typing import Annotated
 
@@ -8,7 +8,7 @@
 from monsoonpier.model.keys import FRAME, KeyRing
 from monsoonpier.model.target import LoadReport, TargetRecord
 from monsoonpier.model.waiting_summary import WaitingSummary
-from monsoonpier.wire.codec import Codec, Dropped, Name, Short
+from monsoonpier.wire.codec import Codec, Dropped, Name, Reason
 from monsoonpier.wire.frames import BalancerRecord
 
 __all__ = [
@@ -32,10 +32,10 @@
 
 
 class AskConfiguration(_Control, tag=1, kw_only=True):
-    """Asks for the configuration if it is newer than ``newer_than``.
+    """Requests the configuration if its version is above ``newer_than``.
 
-    An agent names its ``service`` and gets only that: with 4,800 agents the
-    whole set would be most of the control traffic.
+    An agent names its ``service`` and receives only that service's part, to save
+    control traffic.
     """
 
     newer_than: int
@@ -43,31 +43,31 @@
 
 
 class ConfigurationReply(_Control, tag=2, kw_only=True):
-    """The stored value of a configuration, packed; empty if none is newer."""
+    """Carries the stored configuration, compressed; empty if none is newer."""
 
     version: int
     packed: bytes
 
 
 class AskTable(_Control, tag=3, kw_only=True):
-    """Asks for the records of the buckets whose digests differ."""
+    """Requests the target records of the buckets whose digests differ."""
 
     digests: Annotated[tuple[bytes, ...], Meta(max_length=256)]
 
 
 class TableReply(_Control, tag=4, kw_only=True):
-    """The records of the differing buckets and all known balancers."""
+    """Carries the records of the differing buckets, and all known balancers."""
 
     records: tuple[TargetRecord, ...]
     balancers: tuple[BalancerRecord, ...]
 
 
 class AskStatus(_Control, tag=5, kw_only=True):
-    """Asks a process how it stands."""
+    """Requests the status of a process."""
 
 
 class TargetStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """A target as one balancer sees it."""
+    """The record and load of a target, as known to one balancer."""
 
     record: TargetRecord
     load: LoadReport
@@ -75,10 +75,11 @@
 
 
 class StatusReply(_Control, tag=6, kw_only=True):
-    """How a process stands; targets and what follows only from balancers.
+    """Carries the status of a process.
 
-    Of flows without a token balancers tell ``waiting``, agents ``slot_use``: the sums
-    of what their target's slots did, by name.
+    Only balancers send ``targets``, ``balancers``, ``evacuated`` and, for flows
+    without a token, ``waiting``. Only agents of such flows send ``slot_use``, the
+    totals of their target's slot use by name.
     """
 
     name: Name
@@ -95,16 +96,16 @@
 
 
 class AskDrain(_Control, tag=7, kw_only=True):
-    """Asks a process to leave gracefully, as SIGTERM does."""
+    """Requests a graceful shutdown, as SIGTERM does."""
 
     name: Name
 
 
 class DrainReply(_Control, tag=8, kw_only=True):
-    """Says whether the process began to leave."""
+    """Reports whether the process has started its shutdown."""
 
     accepted: bool
-    reason: Short = ""
+    reason: Reason = ""
 
 
 Control = (
@@ -120,18 +121,18 @@
 
 
 class ControlCodec:
-    """Seals and opens control messages with the keys in force."""
+    """Encodes control messages with a MAC, and verifies and decodes them."""
 
     def __init__(self, *, keys: KeyRing) -> None:
         self._keys = keys
         self._codec = Codec(messages=Control, max_bytes=MAX_CONTROL_BYTES)
 
     def encode(self, message: _Control) -> bytes:
-        """Return the message's sealed bytes."""
+        """Return the encoded message with its MAC."""
         return self._keys.seal(self._codec.encode(message), purpose=FRAME)
 
     def decode(self, data: bytes):
-        """Return the message in ``data``, or a `Dropped` that says why not."""
+        """Return the message in ``data``, or a `Dropped` with the reason."""
         body = self._keys.unseal(data, purpose=FRAME)
         if body is None:
             return Dropped(reason="forged")
--- a/monsoonpier/wire/datagrams.py
+++ b/monsoonpier/wire/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between callers and agents; balancers pass them on.
+"""Datagrams between callers and agents, which balancers forward.
 
 ``docs/CALLERS.md`` specifies them for callers in other languages.
 """
@@ -10,7 +10,7 @@
 from msgspec import Meta
 
 from monsoonpier.model.token import MAX_TOKEN_BYTES
-from monsoonpier.wire.codec import Codec, FlowId, Name, Short
+from monsoonpier.wire.codec import Codec, FlowId, Name, Reason
 
 __all__ = [
     "AnswerPart",
@@ -36,12 +36,12 @@
     "reply_codec",
 ]
 
-MAX_DATAGRAM_BYTES = 1_400  # fits the usual path MTU with our frame around it
+MAX_DATAGRAM_BYTES = 1_400  # fits the usual path MTU when wrapped in a frame
 PART_BYTES = 1_100
-MIN_OPEN_BYTES = 300  # no reply to OPEN is larger: no use as an amplifier
+MIN_OPEN_BYTES = 300  # no reply is larger, which prevents traffic amplification
 MAX_PARTS = 65_536
 MAX_MILLIS = 86_400_000  # a day
-MAX_MISSING = 64  # parts asked for in one datagram
+MAX_MISSING = 64  # missing parts named in one datagram
 DIGEST_BYTES = 16
 
 Token = Annotated[bytes, Meta(min_length=18, max_length=MAX_TOKEN_BYTES)]
@@ -55,33 +55,39 @@
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Base of all datagrams: an array of the tag, the flow id, and the rest."""
+    """Base of all datagrams, which are arrays of tag, flow id and other fields."""
 
     flow: FlowId
 
 
 class Open(_Message, tag=1, kw_only=True, gc=False):
-    """Asks for a flow; has no side effect but an entry that expires."""
+    """Requests a new flow; its only side effect is an entry that expires.
+
+    ``padding`` brings the datagram to `MIN_OPEN_BYTES`.
+    """
 
     attempt: Count = 0
     padding: Annotated[bytes, Meta(max_length=MIN_OPEN_BYTES)] = b""
 
 
 class Ping(_Message, tag=2, kw_only=True, gc=False):
-    """Keeps a flow; ``acked`` is the mark below which all ids are finished."""
+    """Keeps a flow alive; all requests with ids below ``acked`` are finished."""
 
     token: Token
     acked: Count
 
 
 class Close(_Message, tag=3, kw_only=True, gc=False):
-    """Ends a flow and drops what the agent kept for it."""
+    """Closes a flow; the agent discards its state."""
 
     token: Token
 
 
 class RequestPart(_Message, tag=4, kw_only=True, gc=False):
-    """One part of a request; ``time_left_ms`` counts from its sending."""
+    """Carries one part of a request.
+
+    ``time_left_ms`` is the time to its deadline when the part is sent.
+    """
 
     token: Token
     request: Count
@@ -95,7 +101,7 @@
 
 
 class Fetch(_Message, tag=5, kw_only=True, gc=False):
-    """Asks how a request stands, and for the answer parts that are missing."""
+    """Requests the progress of a request, and its missing answer parts."""
 
     token: Token
     request: Count
@@ -104,7 +110,7 @@
 
 
 class Cancel(_Message, tag=6, kw_only=True, gc=False):
-    """Gives up on a request."""
+    """Cancels a request."""
 
     token: Token
     request: Count
@@ -112,7 +118,7 @@
 
 
 class StreamOpen(_Message, tag=7, kw_only=True, gc=False):
-    """Asks for a stream's items after number ``after``."""
+    """Requests the items of a stream that follow number ``after``."""
 
     token: Token
     request: Count
@@ -130,20 +136,23 @@
 
 
 class Opened(_Message, tag=32, kw_only=True, gc=False):
-    """Answers `Open`: every later packet of the flow carries ``token``."""
+    """Accepts an `Open`; each later packet of the flow carries ``token``."""
 
     token: Token
 
 
 class OpenRefused(_Message, tag=33, kw_only=True, gc=False):
-    """Answers `Open`: no target takes the flow now."""
+    """Rejects an `Open`: no target accepts the flow now."""
 
-    reason: Short
+    reason: Reason
     retry_after_ms: Millis
 
 
 class Progress(_Message, tag=34, kw_only=True, gc=False):
-    """Says which parts of a request have come, and which are missing."""
+    """Reports which parts of a request have arrived.
+
+    All parts below ``have_below`` have; ``missing`` names gaps above it.
+    """
 
     request: Count
     have_below: Count
@@ -152,7 +161,10 @@
 
 
 class AnswerPart(_Message, tag=35, kw_only=True, gc=False):
-    """One part of an answer; ``digest`` is BLAKE2b-128 of the whole body."""
+    """Carries one part of an answer.
+
+    ``digest`` is the BLAKE2b-128 digest of the whole body.
+    """
 
     request: Count
     status: Annotated[int, Meta(ge=0, le=999)]
@@ -163,7 +175,7 @@
 
 
 class VerdictKind(IntEnum):
-    """Final answers other than an answer body."""
+    """Final results of a request that has no answer body."""
 
     NOT_RUN = 1
     LATE = 2
@@ -173,17 +185,20 @@
 
 
 class Verdict(_Message, tag=36, kw_only=True, gc=False):
-    """The final answer to a request that has no answer body."""
+    """Reports the final result of a request that has no answer body.
+
+    With ``reopen`` the caller should open another flow for its retry.
+    """
 
     request: Count
     kind: VerdictKind
-    reason: Short
+    reason: Reason
     retry_after_ms: Millis = 0
     reopen: bool = False
 
 
 class Item(_Message, tag=37, kw_only=True, gc=False):
-    """One item of a stream; follows the item numbered ``previous``."""
+    """Carries one item of a stream; the item before it is ``previous``."""
 
     request: Count
     previous: Count
@@ -192,24 +207,27 @@
 
 
 class StreamEnd(_Message, tag=38, kw_only=True, gc=False):
-    """The stream ended after item ``last``; resume elsewhere if ``reopen``."""
+    """Reports that a stream ended after item ``last``.
+
+    With ``reopen`` the caller should resume it on another flow.
+    """
 
     request: Count
     last: Count
-    reason: Short
+    reason: Reason
     reopen: bool = False
 
 
 class Move(_Message, tag=39, kw_only=True, gc=False):
-    """The holder is leaving: open another flow and move there."""
+    """Tells the caller to move to a new flow: the flow's owner is leaving."""
 
 
 class FlowGone(_Message, tag=40, kw_only=True, gc=False):
-    """The holder named by the token is gone, or has dropped the flow."""
+    """Reports that the owner named by the token is gone or has dropped the flow."""
 
 
 class Pong(_Message, tag=41, kw_only=True, gc=False):
-    """Answers `Ping`."""
+    """Acknowledges a `Ping`."""
 
 
 FromCaller = Open | Ping | Close | RequestPart | Fetch | Cancel | StreamOpen | StreamAck
--- a/monsoonpier/wire/frames.py
+++ b/monsoonpier/wire/frames.py
@@ -1,4 +1,9 @@
-"""Sealed datagrams between balancers and agents, and among balancers."""
+"""Authenticated datagrams between balancers and agents, and among balancers.
+
+In this module the directory balancer of a flow is the one that records the flow's
+owner, and the directory balancer of a caller the one that records the caller's
+rejected attempts.
+"""
 
 from typing import Annotated
 
@@ -9,7 +14,7 @@
 from monsoonpier.model.keys import FRAME, KeyRing
 from monsoonpier.model.revision import MAX_GENERATION
 from monsoonpier.model.target import LoadReport, TargetRecord
-from monsoonpier.wire.codec import Codec, Dropped, Name, Short
+from monsoonpier.wire.codec import Codec, Dropped, Name, Reason
 
 __all__ = [
     "Announce",
@@ -48,11 +53,11 @@
 MAX_RECORDS = 8  # per gossip datagram
 MAX_SILENCES = 16
 MAX_BALANCERS = 16
-MAX_ASKED = 80  # of 14 bytes
-MAX_PASSED_ON = 36  # agents, of 20 bytes beside a packet of 1,231
-MAX_MILLISECONDS = 3_600_000  # an hour: nobody waits longer for an answer
+MAX_ASKED = 80  # flows, at 14 bytes each
+MAX_PASSED_ON = 36  # agents, at 20 bytes each beside a packet of 1,231 bytes
+MAX_MILLISECONDS = 3_600_000  # one hour
 MAX_PRIORITY = 255
-MAX_ENTRIES = 32  # of 36 bytes, with names as they are usual
+MAX_ENTRIES = 32  # at about 36 bytes each
 
 Ip = Annotated[str, Meta(max_length=15)]
 Port = Annotated[int, Meta(ge=1, le=65_535)]
@@ -65,16 +70,22 @@
 
 
 def to_milliseconds(seconds: float) -> int:
-    """Return a time as frames carry it; one that is over is 0."""
+    """Return a duration in milliseconds, limited to what frames can carry.
+
+    A negative duration becomes 0.
+    """
     return min(MAX_MILLISECONDS, max(0, round(seconds * 1000)))
 
 
 class _Frame(msgspec.Struct, frozen=True, kw_only=True, array_like=True, gc=False):
-    """Base of all frames: an array whose first element is the tag."""
+    """Base of all frames, which are arrays that begin with the tag."""
 
 
 class Forward(_Frame, tag=1, kw_only=True, gc=False):
-    """A caller's packet on its way to an agent; ``tried`` only with OPEN."""
+    """Forwards a caller's datagram to an agent.
+
+    With an OPEN, ``tried`` names the targets that it has been sent to.
+    """
 
     service: Name
     ip: Ip
@@ -84,7 +95,10 @@
 
 
 class Return(_Frame, tag=2, kw_only=True, gc=False):
-    """An agent's packet on its way to a caller; ``opened`` if it took a flow."""
+    """Carries an agent's datagram to a caller by way of the balancer.
+
+    ``opened`` reports that the agent accepted a new flow.
+    """
 
     service: Name
     ip: Ip
@@ -96,21 +110,24 @@
 
 
 class Bounce(_Frame, tag=3, kw_only=True, gc=False):
-    """An OPEN that an agent did not take, for another candidate."""
+    """Returns a rejected OPEN, so that the balancer tries another target."""
 
     service: Name
     ip: Ip
     port: Port
     payload: Payload
     tried: Tried
-    reason: Short
+    reason: Reason
     retry_after_ms: int
     agent: Name
     load: LoadReport
 
 
 class Heartbeat(_Frame, tag=4, kw_only=True, gc=False):
-    """An agent is alive; sent to its bounded set of balancers."""
+    """Reports that an agent is alive; sent to a bounded set of balancers.
+
+    ``epoch`` and ``change`` are the rank of the agent's current `TargetRecord`.
+    """
 
     name: Name
     epoch: int
@@ -119,7 +136,7 @@
 
 
 class BalancerRecord(_Frame, tag=5, kw_only=True, gc=False):
-    """A balancer as its peers and the agents know it."""
+    """Describes a balancer to its peers and to agents."""
 
     name: Name
     data_centre: Name
@@ -131,17 +148,19 @@
 
     @property
     def endpoint(self) -> tuple[str, int]:
-        """The balancer's internal UDP address as sockets take it."""
+        """The balancer's internal UDP address, in the form that sockets use."""
         return (self.ip, self.port)
 
 
 class HeartbeatAck(_Frame, tag=6, kw_only=True, gc=False):
-    """Answers `Heartbeat`: what the balancer knows and holds.
-
-    ``held_epoch`` is that of the record it holds of the agent: a larger one than
-    the agent's own means that the agent's wall clock was set back. ``evacuation`` is
-    the last known order on the agent's data centre; ``cold_per_second`` is what its
-    target bears while it is cold, by that version, 0 if that isn't limited.
+    """Acknowledges a `Heartbeat` or an `Announce`.
+
+    ``known`` says that the balancer has the agent's current record, ``allowed`` that
+    the configuration allows its target. ``held_epoch`` is the epoch of the
+    balancer's record of the agent: a larger one than the agent's own means that the
+    agent's wall clock was set back. ``evacuation`` is the last known order on the
+    agent's data centre. ``cold_per_second`` limits the new flows without a token that
+    a cold target accepts, in configuration ``version``; 0 means no limit.
     """
 
     balancer: Name
@@ -158,26 +177,30 @@
 
 
 class Announce(_Frame, tag=7, kw_only=True, gc=False):
-    """An agent's whole record, at its start and at each change."""
+    """Carries an agent's whole record; sent at its start and at each change."""
 
     record: TargetRecord
 
 
 class Silence(msgspec.Struct, frozen=True, kw_only=True, array_like=True, gc=False):
-    """A witness has not heard a target's agent for a while."""
+    """Reports that a balancer, the observer, misses an agent's heartbeats.
+
+    With ``silent`` false it receives them again.
+    """
 
     name: Name
     epoch: int
-    witness: Name
+    observer: Name
     silent: bool
 
 
 class Gossip(_Frame, tag=8, kw_only=True, gc=False):
-    """What a balancer tells a peer: news, and digests to find what is missing.
+    """Carries updates to a peer, and a digest that reveals missing ones.
 
-    ``is_settled`` says that the sender is likely to know all targets. Since it names
-    all orders to evacuate, who fetches the configuration it tells of knows them first.
-    ``store_generation`` is the store's newest that it knows of, 0 if of none.
+    ``is_converged`` says that the sender is likely to know all targets.
+    ``evacuations`` holds all evacuation orders, so that the receiver knows them
+    before it fetches the configuration of ``version``. ``store_generation`` is the
+    newest known generation of the store, or 0.
     """
 
     sender: BalancerRecord
@@ -189,7 +212,7 @@
         tuple[BalancerRecord, ...], Meta(max_length=MAX_BALANCERS)
     ] = ()
     is_answer: bool = False
-    is_settled: bool = False
+    is_converged: bool = False
     evacuations: Annotated[
         tuple[Evacuation, ...], Meta(max_length=MAX_EVACUATIONS)
     ] = ()
@@ -197,14 +220,15 @@
 
 
 class Carry(_Frame, tag=9, kw_only=True, gc=False):
-    """A packet of a flow without a token, on its way to an agent.
-
-    ``tried`` names the targets that this SYN has been sent to. ``asks`` wants an
-    answer in any case: the balancer doesn't know whether the flow is held there.
-    ``reply_to`` names the balancer if the frame comes by way of another agent.
-    With a SYN, ``in_time_ms`` is how much longer an answer would be in time,
-    ``wait_ms`` how long its caller still waits for a slot, ``priority`` its route's;
-    ``is_offered`` says that it takes a slot that the agent has offered.
+    """Forwards a packet of a flow without a token to an agent.
+
+    ``asks`` requests a reply in any case, since the balancer doesn't know whether
+    this agent owns the flow. ``reply_to`` is the balancer's address if the frame
+    was relayed by another agent. The other fields come with a SYN: ``tried`` names
+    the targets that it has been sent to, ``in_time_ms`` is the time left until the
+    answer would be late, ``wait_ms`` how long the caller still waits for a slot,
+    ``priority`` that of the route; ``is_offered`` says that the SYN takes a slot
+    that the agent has offered.
     """
 
     service: Name
@@ -219,9 +243,9 @@
 
 
 class Held(_Frame, tag=10, kw_only=True, gc=False):
-    """An agent's word that its target holds a flow.
+    """Reports that an agent's target owns a flow.
 
-    ``is_open`` is false while the target has only answered the SYN.
+    ``is_open`` is false until the handshake is complete.
     """
 
     flow: FlowAddress
@@ -231,9 +255,10 @@
 
 
 class NotHeld(_Frame, tag=11, kw_only=True, gc=False):
-    """An agent's word that its target doesn't hold a flow.
+    """Reports that an agent's target doesn't own a flow.
 
-    The packet comes back unless the balancer asked: then it has kept it.
+    ``payload`` returns the packet, unless the balancer requested a reply: then it
+    has kept the packet itself.
     """
 
     agent: Name
@@ -242,17 +267,17 @@
 
 
 class Turned(_Frame, tag=12, kw_only=True, gc=False):
-    """A SYN that an agent or its target did not accept, for another target."""
+    """Returns a SYN rejected by an agent or its target, for another target."""
 
     agent: Name
     payload: Payload
     tried: Tried
-    reason: Short
+    reason: Reason
     load: LoadReport
 
 
 class Queued(_Frame, tag=20, kw_only=True, gc=False):
-    """An agent's word that a SYN waits there for a slot of its target."""
+    """Reports that a SYN waits at an agent for a slot of its target."""
 
     flow: FlowAddress
     agent: Name
@@ -260,11 +285,11 @@
 
 
 class Reserve(_Frame, tag=21, kw_only=True, gc=False):
-    """A balancer's wish for a slot, for a flow that waits there.
+    """Requests a slot for a flow whose SYN waits at the balancer.
 
-    The SYN stays at the balancer, so that it can go to whichever slot is free first.
-    With ``wait_ms`` 0 it is taken back: the flow waits no longer.
-    Times and priority are those of `Carry`.
+    The balancer may request slots of several agents and use the first one offered.
+    ``wait_ms`` 0 cancels the request. The times and the priority mean the same as in
+    a forwarded SYN.
     """
 
     service: Name
@@ -275,10 +300,10 @@
 
 
 class Offer(_Frame, tag=22, kw_only=True, gc=False):
-    """An agent's offer of a slot to a balancer that has reserved one.
+    """Offers a slot, for a short time, to a balancer that has requested one.
 
-    It holds for a moment only. ``is_late_turn`` asks for the flow that gives up first
-    among those that can't be answered in time.
+    ``is_late_turn`` asks for a flow that can't be answered in time any more, the one
+    that gives up first.
     """
 
     agent: Name
@@ -287,23 +312,23 @@
 
 
 class Decline(_Frame, tag=23, kw_only=True, gc=False):
-    """A balancer's answer to an `Offer` for which it has no flow left."""
+    """Declines a slot offer: the balancer has no waiting flow left."""
 
     service: Name
 
 
 class Load(_Frame, tag=13, kw_only=True, gc=False):
-    """An agent's load as it has just changed, for balancers that send it flows.
+    """Reports a changed load to the balancers that send flows to the agent.
 
-    Its sender's address names the agent: these are by far the most frequent
-    frames, and links of small entry VMs are slow.
+    The agent is identified by the sender's address, which keeps this frame small:
+    it is by far the most frequent one.
     """
 
     load: LoadReport
 
 
 class Register(_Frame, tag=14, kw_only=True, gc=False):
-    """Flows and their holders, for the balancers that keep them."""
+    """Registers flows and their owners at the flows' directory balancers."""
 
     entries: Annotated[
         tuple[tuple[FlowAddress, Name], ...], Meta(max_length=MAX_ENTRIES)
@@ -311,20 +336,20 @@
 
 
 class Find(_Frame, tag=15, kw_only=True, gc=False):
-    """Asks a keeper who holds a flow."""
+    """Asks a flow's directory balancer for the flow's owner."""
 
     flow: FlowAddress
 
 
 class Found(_Frame, tag=16, kw_only=True, gc=False):
-    """A keeper's answer; ``holder`` is empty if it doesn't know."""
+    """Answers with the owner of a flow; ``holder`` is empty if none is known."""
 
     flow: FlowAddress
     holder: Annotated[str, Meta(max_length=64)]
 
 
 class Whose(_Frame, tag=17, kw_only=True, gc=False):
-    """Asks an agent which of these flows its target holds."""
+    """Asks an agent which of ``flows`` its target owns."""
 
     question: int
     service: Name
@@ -332,12 +357,12 @@
 
 
 class Holds(_Frame, tag=18, kw_only=True, gc=False):
-    """Answers `Whose`: those that are held.
+    """Answers which of the flows in a query the agent's target owns.
 
-    ``is_sure`` says that the others are not; an agent that was started beside a
-    running target can't know. ``run_ms`` is how long ago the target's run began,
-    ``None`` if the agent can't tell; with ``is_absent`` nobody has listened at its
-    target's address since the agent's start.
+    ``is_sure`` says that it doesn't own the others; an agent that was started
+    beside a running target can't know that. ``run_ms`` is the time since the target
+    process started, ``None`` if unknown. ``is_absent`` says that no process has
+    listened at the target's address since the agent's start.
     """
 
     question: int
@@ -349,9 +374,9 @@
 
 
 class PassOn(_Frame, tag=19, kw_only=True, gc=False):
-    """A caller's packet that an agent is to try, and pass on to other agents.
+    """Forwards a caller's packet to an agent, which relays it to other agents.
 
-    All of them answer to the balancer that sent this.
+    Each agent replies to the balancer that sent this frame.
     """
 
     service: Name
@@ -360,10 +385,11 @@
 
 
 class Refused(_Frame, tag=30, kw_only=True, gc=False):
-    """Tells a caller's keeper that one of its tries has ended without a slot.
+    """Reports to a caller's directory balancer that an attempt got no slot.
 
-    ``asked_ms`` is how long ago the caller asked first, ``back_ms`` how long it is
-    until it may come back: 0 if it is reset now. ``tries`` counts this one too.
+    ``asked_ms`` is the time since the caller's first attempt, ``back_ms`` the time
+    until its next attempt is possible, 0 if the caller is reset now. ``tries``
+    counts the attempts, including this one.
     """
 
     caller: Ip
@@ -374,9 +400,9 @@
 
 
 class WhenAsked(_Frame, tag=31, kw_only=True, gc=False):
-    """Asks a caller's keeper when the caller of a flow asked first.
+    """Asks a caller's directory balancer for the time of its first attempt.
 
-    ``waited_ms`` is how long ago the flow's first SYN was sent.
+    ``waited_ms`` is the time since the first SYN of ``flow`` was sent.
     """
 
     flow: FlowAddress
@@ -386,9 +412,9 @@
 
 
 class FirstAsked(_Frame, tag=32, kw_only=True, gc=False):
-    """A keeper's answer, if it knows: how long ago its caller asked first.
+    """Answers with the time since a caller's first attempt, if it is known.
 
-    ``tries`` is how often it has asked before this flow.
+    ``tries`` counts its attempts before this flow.
     """
 
     flow: FlowAddress
@@ -427,18 +453,18 @@
 
 
 class FrameCodec:
-    """Seals and opens frames with the keys in force."""
+    """Encodes frames with a MAC, and verifies and decodes them."""
 
     def __init__(self, *, keys: KeyRing) -> None:
         self._keys = keys
         self._codec = Codec(messages=Frame, max_bytes=MAX_FRAME_BYTES)
 
     def encode(self, frame: _Frame) -> bytes:
-        """Return the frame's sealed datagram."""
+        """Return the datagram for a frame, with its MAC."""
         return self._keys.seal(self._codec.encode(frame), purpose=FRAME)
 
     def decode(self, data: bytes):
-        """Return the frame in ``data``, or a `Dropped` that says why not."""
+        """Return the frame in ``data``, or a `Dropped` with the reason."""
         if len(data) > MAX_FRAME_BYTES:
             return Dropped(reason="oversized")
         body = self._keys.unseal(data, purpose=FRAME)
--- a/monsoonpier/wire/packet.py
+++ b/monsoonpier/wire/packet.py
@@ -1,4 +1,4 @@
-"""Packets of flows that carry no token: named by addresses and ports alone."""
+"""Packets of flows without a token, identified by addresses and ports."""
 
 from typing import Protocol
 
@@ -13,19 +13,20 @@
 
 
 class Packet(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """One packet; ``raw`` is what was received, to be passed on unchanged.
+    """One decoded packet; ``raw`` is forwarded unchanged.
 
     Attributes:
-        flow: The caller's and the service's addresses and ports, 12 bytes;
-            the same for both directions.
-        caller_ip: The caller's end.
-        service_address: The service's end.
-        sequence, acknowledged: As in TCP.
-        waited: Seconds since the caller's first SYN, if this is a copy of it.
+        raw: The packet as received.
+        flow: The addresses and ports of caller and service, 12 bytes; the same for
+            both directions.
+        caller_ip: The caller's IP address.
+        service_address: The service's IP address and port.
+        sequence, acknowledged: Sequence and acknowledgement numbers, as in TCP.
         size: Bytes of data.
-        is_failure: The target answers here that it has failed a request.
-        is_returned: The target sent this packet back: it doesn't accept it.
-            ``raw`` is then as it was when it was delivered.
+        is_returned: The target rejected this packet and sent it back; ``raw`` is the
+            packet as it was delivered.
+        is_failure: The target's answer says that it failed a request.
+        waited: Seconds since the caller's first SYN, if this is a retransmission.
     """
 
     raw: bytes
@@ -45,20 +46,21 @@
 
 
 class PacketCodec(Protocol):
-    """Reads and writes the packets' header; an adapter brings it."""
+    """Parses packets and builds resets; implemented by the platform's adapter."""
 
     def decode(self, data: bytes, *, from_target: bool) -> Packet | Dropped:
-        """Return the packet in ``data``, or why there is none."""
+        """Return the packet in ``data``, or a `Dropped` with the reason."""
 
     def reset(self, flow: bytes, *, acknowledged: int) -> bytes:
-        """Return a reset of the system's own for a flow's caller.
+        """Return a reset packet for a flow's caller.
 
         Args:
-            flow: The flow's addresses and ports, as `Packet` has them.
-            acknowledged: The caller's last one, which the reset must be near to.
+            flow: The flow's addresses and ports, as in `Packet`.
+            acknowledged: The caller's last acknowledgement number, which the reset's
+                sequence number must be close to.
         """
 
 
 def sequence_distance(start: int, end: int) -> int:
-    """Return how far ``end`` is after ``start`` in the wrapping space."""
+    """Return the distance from ``start`` to ``end``, modulo the sequence space."""
     return (end - start) % SEQUENCE_SPACE
--- a/monsoonpier/wire/urgency.py
+++ b/monsoonpier/wire/urgency.py
@@ -1,4 +1,4 @@
-"""How urgent a frame is on a narrow link."""
+"""Scheduling class of each frame on a limited link."""
 
 from monsoonpier.link.schedule import Urgency
 from monsoonpier.wire.frames import (
@@ -14,18 +14,18 @@
 
 __all__ = ["urgency_of"]
 
-# They bring packets, or are as large and many: a question to each agent of a service
-# after a loss of power takes longer on the link than heartbeats may be late.
-_WITH_PACKETS = Bounce | Carry | Forward | NotHeld | PassOn | Return | Turned | Whose
+# Frames that carry packets, or that can be as large and numerous: an ownership query
+# to every agent of a service would delay heartbeats for too long.
+_BULK_FRAMES = Bounce | Carry | Forward | NotHeld | PassOn | Return | Turned | Whose
 
 
 def urgency_of(frame, *, size: int) -> Urgency:
-    """Return a frame's urgency.
+    """Return the urgency with which a frame is sent.
 
     Args:
         frame: The frame.
-        size: Its datagram's bytes.
+        size: Size of its datagram in bytes.
     """
-    if isinstance(frame, _WITH_PACKETS):
+    if isinstance(frame, _BULK_FRAMES):
         return Urgency.by_size(size)
     return Urgency.CONTROL
--- a/tests/balancer/test_decision.py
+++ b/tests/balancer/test_decision.py
@@ -222,12 +222,12 @@
         return one, of
 
     def _miss(self, one, of, *, now: float) -> None:
-        """Let two other witnesses say that a target is silent."""
-        for witness in ("b2", "b3"):
+        """Let two other observers say that a target is silent."""
+        for observer in ("b2", "b3"):
             silence = Silence(
-                name=of.name, epoch=of.epoch, witness=witness, silent=True
+                name=of.name, epoch=of.epoch, observer=observer, silent=True
             )
-            one.table.hear_silence(silence, now=now)
+            one.table.record_silence(silence, now=now)
 
     def _is_suspected(self, one, *, now: float) -> bool:
         return one.table.candidates(service(), now=now)[0].suspected
@@ -235,19 +235,19 @@
     def test_one_missed_heartbeat(self):
         """A missed heartbeat or two raise no suspicion."""
         one, _ = self._watched()
-        self.assertEqual(one.table.own_silences(witness="b1", now=3.5), [])
+        self.assertEqual(one.table.changed_silences(observer="b1", now=3.5), [])
 
-    def test_one_witness_is_not_enough(self):
+    def test_one_observer_is_not_enough(self):
         """A cut between one balancer and one agent convinces nobody."""
         one, of = self._watched()
         later = 1.0 + SUSPECT_SECONDS + 0.1
-        one.table.own_silences(witness="b1", now=later)
+        one.table.changed_silences(observer="b1", now=later)
         self.assertFalse(self._is_suspected(one, now=later))
-        second = Silence(name=of.name, epoch=of.epoch, witness="b2", silent=True)
-        one.table.hear_silence(second, now=later)
+        second = Silence(name=of.name, epoch=of.epoch, observer="b2", silent=True)
+        one.table.record_silence(second, now=later)
         self.assertTrue(self._is_suspected(one, now=later))
 
-    def test_hearing_it_oneself_outweighs_witnesses(self):
+    def test_own_heartbeats_outweigh_observers(self):
         """A balancer that hears a target doesn't believe in its silence."""
         one, of = self._watched()
         self._miss(one, of, now=1.0)
@@ -261,15 +261,15 @@
         self.assertFalse(self._is_suspected(one, now=30.0))
 
     def test_forgotten_after_long_silence(self):
-        """A target that several witnesses miss for long is forgotten."""
+        """A target that several observers miss for long is forgotten."""
         one, of = self._watched()
         self._miss(one, of, now=10.0)
-        one.table.forget(now=10.0 + FORGET_SECONDS - 1)
+        one.table.remove_expired(now=10.0 + FORGET_SECONDS - 1)
         self.assertEqual(len(one.table), 1)
-        one.table.forget(now=10.0 + FORGET_SECONDS + 1)
+        one.table.remove_expired(now=10.0 + FORGET_SECONDS + 1)
         self.assertEqual(len(one.table), 0)
 
-    def test_older_record_is_refused(self):
+    def test_older_record_is_rejected(self):
         """A record that comes late doesn't undo a newer one."""
         one, of = self._watched()
         frame(one, Announce(record=of.with_condition(Condition.LEAVING)))
@@ -326,7 +326,7 @@
         self.assertEqual(one.table.digest, two.table.digest)
         frame(two, Announce(record=record("maps-3", host=3, epoch=2)))
         self.assertNotEqual(one.table.digest, two.table.digest)
-        unlike = two.table.records_unlike(one.table.bucket_digests)
+        unlike = two.table.records_in_differing_buckets(one.table.bucket_digests)
         self.assertIn("maps-3", [r.name for r in unlike])
         self.assertLess(len(unlike), 29)
 
@@ -336,7 +336,7 @@
         one, two = balancer("b1", host=1), balancer("b2", host=2)
         one.peers.learn(two.peers.own)
         for _ in range(6):
-            one.peers.pick(now=1.0, draw=draw)
-        self.assertEqual(one.peers.pick(now=1.0, draw=draw), [])
-        one.peers.heard_from(two.peers.own)
-        self.assertEqual(len(one.peers.pick(now=1.0, draw=draw)), 1)
+            one.peers.pick_for_round(now=1.0, draw=draw)
+        self.assertEqual(one.peers.pick_for_round(now=1.0, draw=draw), [])
+        one.peers.received_from(two.peers.own)
+        self.assertEqual(len(one.peers.pick_for_round(now=1.0, draw=draw)), 1)
--- a/tests/balancer/test_evacuation.py
+++ b/tests/balancer/test_evacuation.py
@@ -10,7 +10,7 @@
 from monsoonpier.balancer.configuration_copy import (
     ConfigurationCopies,
     ConfigurationCopy,
-    seal_copy,
+    encode_copy,
 )
 from monsoonpier.balancer.store_link import EvacuationsRead, StoreLink
 from monsoonpier.balancer.stored_configuration import StoredConfiguration
@@ -82,10 +82,10 @@
     async def test_before_copy(self):
         """Nor is anything placed by a copy before evacuations are known."""
         await self._order(HERE)
-        copy = seal_copy(ConfigurationCopy(version=1, packed=b"c"), keys=KEYS)
+        copy = encode_copy(ConfigurationCopy(version=1, packed=b"c"), keys=KEYS)
         put = Put(key=CONFIGURATION_COPY, value=copy)
         await self.store.transact(compares=(), puts=(put,))
-        await self.link._begin_with_copy()
+        await self.link._load_copy()
         self.assertEqual(self.heard, ["evacuations", "copy"])
         self.assertTrue(self.known.is_evacuated(HERE))
 
@@ -194,9 +194,9 @@
         rig = self._rig()
         for name in ("maps-1", "maps-3"):
             load = rig.membership.table.candidates_of("maps", now=SETTLED)[0].load
-            rig.membership.table.beaten(name, load, now=SETTLED)
+            rig.membership.table.record_heartbeat(name, load, now=SETTLED)
         self._evacuate(rig, order(5))
-        (told,) = rig.membership.tell_witnessed(order(5), now=SETTLED)
+        (told,) = rig.membership.evacuation_acks(order(5), now=SETTLED)
         self.assertEqual(told.endpoint[0], "10.2.0.1")
         self.assertIsInstance(told.frame, HeartbeatAck)
         self.assertEqual(told.frame.evacuation, order(5))
--- a/tests/balancer/test_store_link.py
+++ b/tests/balancer/test_store_link.py
@@ -11,7 +11,7 @@
     MAX_COPY_BYTES,
     ConfigurationCopies,
     ConfigurationCopy,
-    seal_copy,
+    encode_copy,
 )
 from monsoonpier.balancer.peers import Peers
 from monsoonpier.balancer.registration import LEASE_TTL_SECONDS
@@ -172,7 +172,9 @@
         self.assertEqual(watchers, ["dc-0"] * 2 + ["dc-1"] * 2 + ["dc-2"] * 4)
 
     async def _put_copy(self, version: int, packed: bytes = b"packed") -> None:
-        value = seal_copy(ConfigurationCopy(version=version, packed=packed), keys=KEYS)
+        value = encode_copy(
+            ConfigurationCopy(version=version, packed=packed), keys=KEYS
+        )
         put = Put(key=CONFIGURATION_COPY, value=value)
         await self.platform.transact(compares=(), puts=(put,))
 
@@ -182,7 +184,7 @@
         await self.platform.transact(
             compares=(), puts=(Put(key=CONFIGURATION, value=b"large"),)
         )
-        await self.link._begin_with_copy()
+        await self.link._load_copy()
         self.configuration.take_packed.assert_called_once_with(b"packed")
         self.configuration.take.assert_not_called()
 
@@ -192,7 +194,7 @@
             if value is not None:
                 put = Put(key=CONFIGURATION_COPY, value=value)
                 await self.platform.transact(compares=(), puts=(put,))
-            await self.link._begin_with_copy()
+            await self.link._load_copy()
             self.configuration.take_packed.assert_not_called()
             self.assertLess(self.link._last_read, 0)
 
@@ -200,7 +202,7 @@
         """A newer configuration replaces the copy, an older one never does."""
         copies = ConfigurationCopies(store=self.platform, keys=KEYS)
         for version, follows in ((5, True), (4, False), (6, True)):
-            self.assertEqual(copies.is_old(version), follows)
+            self.assertEqual(copies.is_older_than(version), follows)
             if follows:
                 copy = ConfigurationCopy(version=version, packed=b"p")
                 self.assertTrue(await copies.write(copy))
@@ -213,7 +215,7 @@
         self.assertTrue(await first.write(ConfigurationCopy(version=7, packed=b"n")))
         late = ConfigurationCopy(version=6, packed=b"o")
         self.assertFalse(await second.write(late))
-        self.assertFalse(second.is_old(6))
+        self.assertFalse(second.is_older_than(6))
         self.assertEqual((await first.read()).version, 7)
 
     async def test_too_large_a_copy(self):
@@ -221,5 +223,5 @@
         copies = ConfigurationCopies(store=self.platform, keys=KEYS)
         large = ConfigurationCopy(version=2, packed=bytes(MAX_COPY_BYTES))
         self.assertFalse(await copies.write(large))
-        self.assertFalse(copies.is_old(2))
+        self.assertFalse(copies.is_older_than(2))
         self.assertIsNone(await copies.read())
--- a/tests/balancer/test_store_return.py
+++ b/tests/balancer/test_store_return.py
@@ -122,7 +122,7 @@
             self.store.restore(copy)
             await self._hear(1)
             self.assertTrue(self.membership.has_news)
-            self.link.restored()
+            self.link.store_restored()
             await self._wait_registered()
 
     async def test_lease_given_out_again(self):
@@ -184,7 +184,7 @@
         copy = self.store.copy()
         await self._order()
         with mock.patch.object(store_link, "WATCH_CHECK_SECONDS", 0.02):
-            async with self._running(self.link._follow_forever()):
+            async with self._running(self.link._watch_or_poll_forever()):
                 await self._wait_for(lambda: self.known.is_evacuated(PLACE))
                 self.store.restore(copy)
                 await self._wait_for(lambda: self.returns)
@@ -200,11 +200,11 @@
         await self.copies.write(newer)
         await self.link._read()
         self.store.restore(nothing)
-        self.assertFalse(self.copies.is_old(7))
+        self.assertFalse(self.copies.is_older_than(7))
         await self.link._read()
-        self.assertTrue(self.copies.is_old(7))
+        self.assertTrue(self.copies.is_older_than(7))
         self.assertTrue(await self.copies.write(newer))
-        self.link.restored()
+        self.link.store_restored()
         late = ConfigurationCopy(version=6, packed=b"o")
         self.assertFalse(await self.copies.write(late))
         self.assertEqual((await self.copies.read()).version, 7)
@@ -216,13 +216,13 @@
         async def written_then_lost(**write):
             result = await transact(**write)
             self.store.restore(nothing)
-            self.link.restored()
+            self.link.store_restored()
             return result
 
         newest = ConfigurationCopy(version=7, packed=b"n")
         with mock.patch.object(self.platform, "transact", written_then_lost):
             self.assertFalse(await self.copies.write(newest))
-        self.assertTrue(self.copies.is_old(7))
+        self.assertTrue(self.copies.is_older_than(7))
 
     async def test_first_word_is_no_return(self):
         """A process that starts with a store that once came back reports none."""
--- a/tests/wire/test_decoders.py
+++ b/tests/wire/test_decoders.py
@@ -1,4 +1,4 @@
-"""Bad input to every decoder: dropped with a reason, and never raised."""
+"""Decoders drop bad input with a reason and never raise."""
 
 import random
 import unittest
@@ -23,7 +23,7 @@
 
 KEYS = KeyRing(keys=(Key(id=1, secret=b"k" * 32),))
 BATCH = 40
-EXAMPLES = 260  # times BATCH is more than 10,000 datagrams a decoder
+EXAMPLES = 260  # batches per decoder
 FLOW = b"f" * 16
 SAMPLES = (
     caller_codec.encode(Ping(flow=FLOW, token=b"t" * 60, acked=3)),
@@ -46,7 +46,7 @@
 
 
 def _mutate(draw: random.Random) -> bytes:
-    """Return random bytes, or a sample that is cut, stretched or changed."""
+    """Return random bytes, or a truncated, extended or altered sample."""
     data = bytearray(draw.choice(SAMPLES))
     match draw.randrange(5):
         case 0:
@@ -64,9 +64,9 @@
 
 
 class DecoderTests(unittest.TestCase):
-    """More than 10,000 datagrams at each decoder."""
+    """Every decoder copes with random and corrupted datagrams."""
 
-    def _throw(self, decode, seed: int, wrap=lambda data: data) -> None:
+    def _check_random_input(self, decode, seed: int, wrap=lambda data: data) -> None:
         draw = random.Random(seed)
         for _ in range(BATCH):
             result = decode(wrap(_mutate(draw)))
@@ -75,37 +75,37 @@
     @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
     @given(seed=st.integers(0, 2**32))
     def test_from_callers(self, seed):
-        """A balancer's decoder of callers' packets takes anything."""
-        self._throw(caller_codec.decode, seed)
+        """A balancer's decoder of callers' datagrams raises on no input."""
+        self._check_random_input(caller_codec.decode, seed)
 
     @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
     @given(seed=st.integers(0, 2**32))
     def test_to_callers(self, seed):
-        """A caller's decoder takes anything."""
-        self._throw(reply_codec.decode, seed)
+        """A caller's decoder raises on no input."""
+        self._check_random_input(reply_codec.decode, seed)
 
     @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
     @given(seed=st.integers(0, 2**32), is_sealed=st.booleans())
     def test_frames(self, seed, is_sealed):
-        """The decoder of frames takes anything, sealed or not."""
+        """The decoder of frames raises on no input, with or without a valid MAC."""
 
         def wrap(data: bytes) -> bytes:
             return KEYS.seal(data, purpose=FRAME) if is_sealed else data
 
-        self._throw(FrameCodec(keys=KEYS).decode, seed, wrap)
+        self._check_random_input(FrameCodec(keys=KEYS).decode, seed, wrap)
 
     @settings(max_examples=EXAMPLES, deadline=None, derandomize=True)
     @given(seed=st.integers(0, 2**32), is_sealed=st.booleans())
     def test_control(self, seed, is_sealed):
-        """The decoder of control messages takes anything, sealed or not."""
+        """The control decoder raises on no input, with or without a valid MAC."""
 
         def wrap(data: bytes) -> bytes:
             return KEYS.seal(data, purpose=FRAME) if is_sealed else data
 
-        self._throw(ControlCodec(keys=KEYS).decode, seed, wrap)
+        self._check_random_input(ControlCodec(keys=KEYS).decode, seed, wrap)
 
     def test_reasons(self):
-        """Each sort of bad datagram is counted under its own reason."""
+        """Each kind of bad datagram is dropped with its own reason."""
         good = SAMPLES[0]
         table = (
             (b"", "truncated"),
@@ -120,20 +120,20 @@
 
 
 class KeyTests(unittest.TestCase):
-    """Authentication, and keys that rotate."""
+    """Authentication and key rotation."""
 
     def _heartbeat(self) -> Heartbeat:
         return Heartbeat(name="maps-1", epoch=1, change=0, load=LoadReport(number=1))
 
     def test_forged_frame(self):
-        """A frame sealed with another key is dropped as forged."""
+        """A frame authenticated with another key is dropped as forged."""
         other = KeyRing(keys=(Key(id=1, secret=b"o" * 32),))
         data = FrameCodec(keys=other).encode(self._heartbeat())
         decoded = FrameCodec(keys=KEYS).decode(data)
         self.assertEqual(decoded, Dropped(reason="forged"))
 
     def test_rotation(self):
-        """During rotation both keys open, and the first one seals."""
+        """During rotation both keys verify, and the first one signs."""
         old, new = Key(id=1, secret=b"k" * 32), Key(id=2, secret=b"n" * 32)
         both = KeyRing(keys=(new, old))
         token = HolderToken(service="maps", ip="10.0.0.1", port=1, instance=b"i" * 8)
@@ -144,16 +144,16 @@
         self.assertIsNone(open_token(after, flow=FLOW, keys=KEYS))
 
     def test_purposes_do_not_mix(self):
-        """A sealed frame doesn't pass as a token, nor the other way round."""
+        """The MAC of a frame is not valid for a token."""
         body = msgspec.msgpack.encode(["maps", "10.0.0.1", 1, b"i" * 8])
         sealed = KEYS.seal(body, purpose=FRAME, bound_to=FLOW)
         self.assertIsNone(open_token(sealed, flow=FLOW, keys=KEYS))
 
     def test_secrets_stay_out_of_text(self):
-        """A key ring's text shows no secret."""
+        """The string form of a key ring contains no secret."""
         self.assertNotIn("kkkk", repr(KEYS) + str(KEYS.keys[0]))
 
     def test_control_round_trip(self):
-        """A control message comes back as it was."""
+        """A control message survives encoding and decoding."""
         codec = ControlCodec(keys=KEYS)
         self.assertEqual(codec.decode(codec.encode(AskStatus())), AskStatus())
