--- a/monsoonpier/balancer/member.py
+++ b/monsoonpier/balancer/member.py
@@ -327,7 +327,7 @@
 
     def _send_round(self, *, eager: bool) -> None:
         membership = self._membership
-        for action in membership.round(now=_now(), draw=self._draw, eager=eager):
+        for action in membership.gossip_round(now=_now(), draw=self._draw, eager=eager):
             self.do(action)
         if not len(membership.table):
             self._send_join()
--- a/monsoonpier/balancer/membership.py
+++ b/monsoonpier/balancer/membership.py
@@ -15,7 +15,7 @@
     Gossip,
     Heartbeat,
     HeartbeatAck,
-    Silence,
+    SilenceReport,
 )
 
 __all__ = ["ALONE_SECONDS", "Membership"]
@@ -194,7 +194,7 @@
         if frame.is_converged:
             self.has_agreed = has_targets
 
-    def round(
+    def gossip_round(
         self, *, now: float, draw: random.Random, eager: bool = False
     ) -> list[ToAgent]:
         """Return one round of gossip; an eager one is sent at once for an update."""
@@ -210,7 +210,7 @@
             for peer in self.peers.pick_for_round(now=now, draw=draw, eager=eager)
         ]
 
-    def _queue_update(self, item: TargetRecord | Silence) -> None:
+    def _queue_update(self, item: TargetRecord | SilenceReport) -> None:
         self.peers.queue_update(item)
         self.has_news = True
 
--- a/monsoonpier/balancer/peers.py
+++ b/monsoonpier/balancer/peers.py
@@ -15,7 +15,7 @@
     MAX_SILENCES,
     BalancerRecord,
     Gossip,
-    Silence,
+    SilenceReport,
 )
 
 __all__ = ["Peers"]
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Update:
-    item: TargetRecord | Silence
+    item: TargetRecord | SilenceReport
     rounds: int  # left to be sent in
 
 
@@ -120,7 +120,7 @@
             peer.unanswered = 0
             peer.excluded_until = 0.0
 
-    def queue_update(self, item: TargetRecord | Silence) -> None:
+    def queue_update(self, item: TargetRecord | SilenceReport) -> None:
         """Queue an update for the next rounds of gossip."""
         rounds = len(self._peers_by_name).bit_length() + EXTRA_ROUNDS
         self._updates.append(_Update(item=item, rounds=rounds))
@@ -206,14 +206,16 @@
             draw=draw,
         )
 
-    def _take_updates(self) -> tuple[tuple[TargetRecord, ...], tuple[Silence, ...]]:
+    def _take_updates(
+        self,
+    ) -> tuple[tuple[TargetRecord, ...], tuple[SilenceReport, ...]]:
         records: list[TargetRecord] = []
-        silences: list[Silence] = []
+        silences: list[SilenceReport] = []
         for update in self._updates:
             match update.item:
                 case TargetRecord() as item if len(records) < MAX_RECORDS:
                     records.append(item)
-                case Silence() as item if len(silences) < MAX_SILENCES:
+                case SilenceReport() as item if len(silences) < MAX_SILENCES:
                     silences.append(item)
                 case _:
                     continue
--- a/monsoonpier/balancer/table.py
+++ b/monsoonpier/balancer/table.py
@@ -9,7 +9,7 @@
 from monsoonpier.balancer.steering import Candidate
 from monsoonpier.model.service import Service
 from monsoonpier.model.target import Condition, LoadReport, TargetRecord
-from monsoonpier.wire.frames import Silence
+from monsoonpier.wire.frames import SilenceReport
 
 __all__ = ["TargetTable"]
 
@@ -167,7 +167,7 @@
         if entry is not None:
             entry.unanswered += 1
 
-    def record_silence(self, silence: Silence, *, now: float) -> bool:
+    def record_silence(self, silence: SilenceReport, *, now: float) -> bool:
         """Record an observer's report on a target; return whether it was new."""
         entry = self._entries_by_name.get(silence.name)
         if entry is None or entry.record.epoch != silence.epoch:
@@ -179,7 +179,7 @@
             entry.silent_observers.pop(silence.observer, None)
         return known != silence.silent
 
-    def changed_silences(self, *, observer: str, now: float) -> list[Silence]:
+    def changed_silences(self, *, observer: str, now: float) -> list[SilenceReport]:
         """Check the observed targets; return reports of those whose silence changed.
 
         Args:
@@ -193,7 +193,7 @@
             silent = now - entry.heard_at > SUSPECT_SECONDS
             if silent == (observer in entry.silent_observers):
                 continue
-            silence = Silence(
+            silence = SilenceReport(
                 name=name, epoch=entry.record.epoch, observer=observer, silent=silent
             )
             self.record_silence(silence, now=now)
--- a/monsoonpier/balancer/tokens/process.py
+++ b/monsoonpier/balancer/tokens/process.py
@@ -45,7 +45,7 @@
         self._store = EtcdStore(addresses=settings.platform, draw=self._draw)
         self._rebind = asyncio.Event()
         self._sender = LinkSender(bits_per_second=settings.link_bits_per_second)
-        self._member = Member(
+        self._node = Member(
             settings=settings,
             membership=self._balancer.membership,
             life=self._life,
@@ -69,18 +69,18 @@
         Raises:
             OSError: If a port is taken.
         """
-        await self._member.start()
+        await self._node.start()
         await self._web.start()
         self._life.install_signals()
         _log.info("started")
-        jobs = (*self._member.jobs, self._bind_forever)
+        jobs = (*self._node.jobs, self._bind_forever)
         await run_until_left(self._leave_and_finish, jobs)
         await self._stop()
 
     async def _leave_and_finish(self) -> None:
         await self._life.wait_for_leaving()
         began = _now()
-        await self._member.leave()
+        await self._node.leave()
         while _now() - began < LEAVE_SECONDS:
             await asyncio.sleep(0.1)
             if _now() - max(self._last_packet_at, began) > QUIET_SECONDS:
@@ -91,7 +91,7 @@
         await self._web.stop()
         for socket in self._sockets_by_service.values():
             socket.close()
-        await self._member.stop()
+        await self._node.stop()
         _log.info("stopped")
 
     # Packets and frames
@@ -117,7 +117,7 @@
     def _do(self, action) -> None:
         match action:
             case ToAgent(endpoint=endpoint, frame=frame):
-                self._member.send(frame, endpoint, is_control=False)
+                self._node.send(frame, endpoint, is_control=False)
             case ToCaller(service=service, endpoint=endpoint, payload=payload):
                 socket = self._sockets_by_service.get(service)
                 if socket is not None:
@@ -184,9 +184,9 @@
         yield counter(
             "opens", "Placement decisions.", balancer.opens_by_result, "result"
         )
-        drops = balancer.dropped_by_reason + Counter(self._member.dropped_by_reason)
+        drops = balancer.dropped_by_reason + Counter(self._node.dropped_by_reason)
         yield counter("dropped_datagrams", "Dropped datagrams.", drops, "reason")
-        control = self._member.bytes_by_direction
+        control = self._node.bytes_by_direction
         yield from self._sender.readings
         yield counter(
             "control_bytes", "Bytes of control traffic.", control, "direction"
--- a/monsoonpier/wire/frames.py
+++ b/monsoonpier/wire/frames.py
@@ -44,7 +44,7 @@
     "Whose",
     "HeartbeatAck",
     "Return",
-    "Silence",
+    "SilenceReport",
     "to_milliseconds",
 ]
 
@@ -182,7 +182,9 @@
     record: TargetRecord
 
 
-class Silence(msgspec.Struct, frozen=True, kw_only=True, array_like=True, gc=False):
+class SilenceReport(
+    msgspec.Struct, frozen=True, kw_only=True, array_like=True, gc=False
+):
     """Reports that a balancer, the observer, misses an agent's heartbeats.
 
     With ``silent`` false it receives them again.
@@ -207,7 +209,7 @@
     version: int
     digest: Annotated[bytes, Meta(max_length=16)]
     records: Annotated[tuple[TargetRecord, ...], Meta(max_length=MAX_RECORDS)] = ()
-    silences: Annotated[tuple[Silence, ...], Meta(max_length=MAX_SILENCES)] = ()
+    silences: Annotated[tuple[SilenceReport, ...], Meta(max_length=MAX_SILENCES)] = ()
     balancers: Annotated[
         tuple[BalancerRecord, ...], Meta(max_length=MAX_BALANCERS)
     ] = ()
--- a/tests/balancer/test_clocks.py
+++ b/tests/balancer/test_clocks.py
@@ -1,4 +1,4 @@
-"""Processes whose wall clock was set back between two starts."""
+"""Epochs of processes whose wall clock was set back between two starts."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
 
 
 class ClockSetBackTests(unittest.TestCase):
-    """A record that looks old though its process is the newer one."""
+    """A restarted process replaces its earlier record despite a smaller epoch."""
 
     def setUp(self) -> None:
         self.node = Membership(own=balancer("lb-1"))
@@ -32,8 +32,8 @@
         actions = self.node.from_process(frame, sender=sender, now=1.0, draw=self.draw)
         return [action.frame for action in actions if hasattr(action, "frame")]
 
-    def test_agent_learns_what_is_held_of_it(self) -> None:
-        """The answer to an old-looking record names the epoch to go beyond."""
+    def test_ack_names_newer_epoch(self) -> None:
+        """The reply to a record with a smaller epoch names the known one."""
         gone = record("maps-1", epoch=500, condition=Condition.GONE)
         self.node.table.learn(gone, now=0.0)
         restarted = record("maps-1", epoch=400)
@@ -41,8 +41,8 @@
         self.assertIsInstance(ack, HeartbeatAck)
         self.assertEqual(ack.held_epoch, 500)
 
-    def test_agent_goes_beyond_it(self) -> None:
-        """An agent takes a later epoch than the one that is held of it."""
+    def test_agent_raises_its_epoch(self) -> None:
+        """An agent raises its epoch above the one that a balancer knows."""
         witnesses = Witnesses(target="maps-1")
         ack = HeartbeatAck(
             balancer="lb-1", version=1, known=True, allowed=True, held_epoch=500
@@ -50,13 +50,13 @@
         self.assertEqual(witnesses.epoch_beyond(ack, epoch=400), 501)
         self.assertIsNone(witnesses.epoch_beyond(ack, epoch=500))
 
-    def test_balancer_is_told_and_goes_beyond_it(self) -> None:
-        """A restarted balancer whose earlier run left is taken in again."""
+    def test_balancer_raises_its_epoch(self) -> None:
+        """A restarted balancer raises its epoch above that of its earlier record."""
         left = balancer("lb-2", epoch=500)
         self.node.peers.learn(left)
         restarted = Membership(own=balancer("lb-2", epoch=400))
-        hello = Gossip(sender=restarted.peers.own, version=0, digest=b"")
-        (answer,) = self.answers(hello)
+        gossip = Gossip(sender=restarted.peers.own, version=0, digest=b"")
+        (answer,) = self.answers(gossip)
         actions = restarted.from_process(
             answer, sender=("10.1.0.1", 7720), now=1.0, draw=self.draw
         )
--- a/tests/balancer/test_decision.py
+++ b/tests/balancer/test_decision.py
@@ -1,4 +1,4 @@
-"""What a balancer does with packets, and how balancers come to agree."""
+"""Balancer decisions on packets and frames, and convergence by gossip."""
 
 import random
 import unittest
@@ -24,7 +24,7 @@
     Bounce,
     Heartbeat,
     Return,
-    Silence,
+    SilenceReport,
 )
 from tests.rig import CALLER, KEYS, balancer, record, service
 
@@ -33,35 +33,35 @@
 
 
 def send(to, payload: bytes, *, of: str = "maps", now: float = 1.0):
-    """Give a caller's packet to a balancer."""
+    """Pass a caller's packet to a balancer."""
     return to.from_caller(
         payload, caller=CALLER, service=of, now=now, draw=random.Random(1)
     )
 
 
 def frame(to, message, *, sender=("10.1.0.1", 9000), now: float = 1.0) -> list:
-    """Give another process's frame to a balancer."""
+    """Pass a frame of another process to a balancer."""
     return to.from_process(message, sender=sender, now=now, draw=random.Random(1))
 
 
 def beat(of, *, number: int = 1) -> Heartbeat:
-    """Return a serving target's heartbeat."""
+    """Return the heartbeat of a serving target."""
     load = LoadReport(number=number, condition=Condition.SERVING, age_ms=60_000)
     return Heartbeat(name=of.name, epoch=of.epoch, change=of.change, load=load)
 
 
 def token_packet(*, flow: bytes = FLOW, of: str = "maps", keys=KEYS) -> bytes:
-    """Return an established flow's packet."""
+    """Return a packet of an established flow."""
     token = HolderToken(service=of, ip="10.1.0.7", port=9000, instance=b"i" * 8)
     sealed = seal_token(token, flow=flow, keys=keys)
     return caller_codec.encode(Ping(flow=FLOW, token=sealed, acked=1))
 
 
 class PacketTests(unittest.TestCase):
-    """Established flows need nothing but their token."""
+    """Packets of established flows are forwarded by their token alone."""
 
     def test_empty_table(self):
-        """A balancer that knows nothing forwards an established flow's packet."""
+        """A balancer without targets or configuration forwards by token."""
         new = balancer()
         new.membership.configuration = Configuration()
         action = send(new, token_packet())
@@ -87,7 +87,7 @@
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(tables=st.lists(st.sets(st.integers(1, 9)), min_size=2, max_size=5))
     def test_balancers_that_disagree(self, tables):
-        """Whatever their tables hold, all balancers forward to the one holder."""
+        """Balancers with different tables forward a flow to the same owner."""
         endpoints = set()
         for host, hosts in enumerate(tables, 1):
             one = balancer(f"b{host}", host=host)
@@ -99,7 +99,7 @@
 
 
 class OpenTests(unittest.TestCase):
-    """New flows are placed, passed on, or refused at once."""
+    """New flows are placed, placed again after a rejection, or rejected."""
 
     def _with_targets(self, count: int):
         one = balancer()
@@ -109,8 +109,8 @@
             frame(one, beat(of))
         return one
 
-    def test_refused_open_is_passed_on(self):
-        """An OPEN that one agent sends back goes to another at once."""
+    def test_rejected_open_goes_to_another_target(self):
+        """An OPEN that one agent rejects goes to another at once."""
         one = self._with_targets(2)
         first = send(one, OPEN)
         load = LoadReport(number=9, condition=Condition.LEAVING)
@@ -154,7 +154,7 @@
         self.assertIsInstance(send(one, OPEN), ToCaller)
 
     def test_announced_condition_is_newer(self):
-        """A target that announces that it serves needn't wait for a heartbeat."""
+        """An announced condition replaces the one in an earlier heartbeat."""
         one = balancer()
         of = record("maps-1")
         frame(one, Announce(record=of))
@@ -165,7 +165,7 @@
         self.assertIsInstance(send(one, OPEN), ToAgent)
 
     def test_flows_in_flight_are_counted(self):
-        """A report doesn't wipe out flows that it can't know of yet."""
+        """A load report doesn't reset the count of flows that it can't include."""
         one = self._with_targets(1)
         for _ in range(3):
             send(one, OPEN)
@@ -183,15 +183,15 @@
         self.assertEqual(candidate.placed, 3)
 
     def test_unknown_service(self):
-        """Without configuration an OPEN is refused at once."""
+        """An OPEN to a service that isn't configured is rejected."""
         self.assertIsInstance(send(balancer(), OPEN, of="nothing"), ToCaller)
 
 
 class ConfigurationTests(unittest.TestCase):
-    """A version in force never gives way to an older one."""
+    """A configuration is never replaced by an older one."""
 
     def test_never_older(self):
-        """An older or equal version is refused, whoever offers it."""
+        """An older or equal version is rejected."""
         one = balancer()
         newer = Configuration(version=7, services_by_name={"maps": service()})
         self.assertTrue(one.membership.configure(newer))
@@ -200,19 +200,19 @@
         self.assertEqual(one.configuration, newer)
 
     def test_peer_with_newer_version_is_asked(self):
-        """Gossip of a newer version makes a balancer ask for it."""
+        """A balancer fetches a newer version from the peer that gossips it."""
         old, new = balancer("b1", host=1), balancer("b2", host=2)
         new.membership.configure(Configuration(version=5))
-        hello = new.membership.greeting(
+        gossip = new.membership.greeting(
             ("10.2.0.1", 9000), now=1.0, draw=random.Random(1)
         ).frame
-        actions = frame(old, hello, sender=("10.2.0.2", 9000))
+        actions = frame(old, gossip, sender=("10.2.0.2", 9000))
         wanted = [a for a in actions if isinstance(a, FetchConfiguration)]
         self.assertEqual([a.control for a in wanted], ["10.2.0.2:9001"])
 
 
 class SuspicionTests(unittest.TestCase):
-    """One lost or late datagram, or one cut, removes nobody."""
+    """A lost or late datagram, or one broken link, doesn't make a target suspected."""
 
     def _watched(self):
         one = balancer()
@@ -224,7 +224,7 @@
     def _miss(self, one, of, *, now: float) -> None:
         """Let two other observers say that a target is silent."""
         for observer in ("b2", "b3"):
-            silence = Silence(
+            silence = SilenceReport(
                 name=of.name, epoch=of.epoch, observer=observer, silent=True
             )
             one.table.record_silence(silence, now=now)
@@ -233,35 +233,35 @@
         return one.table.candidates(service(), now=now)[0].suspected
 
     def test_one_missed_heartbeat(self):
-        """A missed heartbeat or two raise no suspicion."""
+        """Two missed heartbeats are not reported as silence."""
         one, _ = self._watched()
         self.assertEqual(one.table.changed_silences(observer="b1", now=3.5), [])
 
     def test_one_observer_is_not_enough(self):
-        """A cut between one balancer and one agent convinces nobody."""
+        """A report of one observer alone doesn't make a target suspected."""
         one, of = self._watched()
         later = 1.0 + SUSPECT_SECONDS + 0.1
         one.table.changed_silences(observer="b1", now=later)
         self.assertFalse(self._is_suspected(one, now=later))
-        second = Silence(name=of.name, epoch=of.epoch, observer="b2", silent=True)
+        second = SilenceReport(name=of.name, epoch=of.epoch, observer="b2", silent=True)
         one.table.record_silence(second, now=later)
         self.assertTrue(self._is_suspected(one, now=later))
 
     def test_own_heartbeats_outweigh_observers(self):
-        """A balancer that hears a target doesn't believe in its silence."""
+        """A balancer that receives a target's heartbeats doesn't suspect it."""
         one, of = self._watched()
         self._miss(one, of, now=1.0)
         self.assertFalse(self._is_suspected(one, now=1.5))
 
     def test_new_instance_clears_suspicion(self):
-        """A new instance of a target isn't suspected for its predecessor."""
+        """A new instance of a target isn't suspected for the earlier one's silence."""
         one, of = self._watched()
         self._miss(one, of, now=1.0)
         frame(one, Announce(record=record("maps-1", epoch=2)), now=30.0)
         self.assertFalse(self._is_suspected(one, now=30.0))
 
-    def test_forgotten_after_long_silence(self):
-        """A target that several observers miss for long is forgotten."""
+    def test_removed_after_long_silence(self):
+        """A target is removed `FORGET_SECONDS` after it became suspected."""
         one, of = self._watched()
         self._miss(one, of, now=10.0)
         one.table.remove_expired(now=10.0 + FORGET_SECONDS - 1)
@@ -270,7 +270,7 @@
         self.assertEqual(len(one.table), 0)
 
     def test_older_record_is_rejected(self):
-        """A record that comes late doesn't undo a newer one."""
+        """A delayed record doesn't replace a newer one."""
         one, of = self._watched()
         frame(one, Announce(record=of.with_condition(Condition.LEAVING)))
         frame(one, Announce(record=of))
@@ -278,7 +278,7 @@
 
 
 class GossipTests(unittest.TestCase):
-    """News reaches every balancer in a few rounds, at a bounded cost."""
+    """Updates reach every balancer in a few rounds."""
 
     def _rounds(self, count: int, *, rounds: int, drop: float = 0.0) -> list:
         draw = random.Random(3)
@@ -293,7 +293,7 @@
             queue = [
                 (node, action)
                 for node in nodes
-                for action in node.membership.round(
+                for action in node.membership.gossip_round(
                     now=now, draw=draw, eager=node.membership.has_news
                 )
             ]
@@ -312,12 +312,12 @@
         return nodes
 
     def test_reaches_all(self):
-        """With 60 balancers and a tenth of gossip lost, all know in 8 rounds."""
+        """An update reaches 60 balancers in 8 rounds with a tenth of frames lost."""
         nodes = self._rounds(60, rounds=8, drop=0.1)
         self.assertEqual([len(node.table) for node in nodes], [1] * 60)
 
     def test_equal_tables_have_equal_digests(self):
-        """Digests tell equal tables from different ones, in any order."""
+        """Digests depend on the records, not on the order of their arrival."""
         one, two = balancer("b1"), balancer("b2")
         for number in range(1, 30):
             frame(one, Announce(record=record(f"maps-{number}", host=number)))
@@ -330,8 +330,8 @@
         self.assertIn("maps-3", [r.name for r in unlike])
         self.assertLess(len(unlike), 29)
 
-    def test_dead_peer_is_left_out_and_comes_back(self):
-        """A peer that answers nothing is left out until it speaks again."""
+    def test_dead_peer_is_excluded_and_comes_back(self):
+        """A peer that doesn't answer is excluded until it sends a message."""
         draw = random.Random(1)
         one, two = balancer("b1", host=1), balancer("b2", host=2)
         one.peers.learn(two.peers.own)
--- a/tests/balancer/test_evacuation.py
+++ b/tests/balancer/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Evacuated data centres: how balancers hear of them, and what they do then."""
+"""How balancers learn of evacuated data centres, and where they place flows then."""
 
 import random
 import unittest
@@ -26,20 +26,20 @@
 
 
 def order(revision: int, *, place: str = HERE, active: bool = True) -> Evacuation:
-    """Return word of an order, or of its deletion."""
+    """Return an evacuation order, or its deletion."""
     return Evacuation(data_centre=place, revision=revision, is_active=active)
 
 
-class HearingTests(unittest.IsolatedAsyncioTestCase):
-    """What a watcher learns of the store, with lost and compacted history."""
+class StoreReadTests(unittest.IsolatedAsyncioTestCase):
+    """What a watcher learns from the store by reading and watching."""
 
     async def asyncSetUp(self) -> None:
         self.store = FakeStore()
         self.known = Evacuations()
-        self.heard: list[str] = []
+        self.received: list[str] = []
         configuration = mock.create_autospec(StoredConfiguration, instance=True)
-        configuration.take.side_effect = lambda _: self.heard.append("configuration")
-        configuration.take_packed.side_effect = lambda _: self.heard.append("copy")
+        configuration.take.side_effect = lambda _: self.received.append("configuration")
+        configuration.take_packed.side_effect = lambda _: self.received.append("copy")
         self.link = StoreLink(
             store=self.store,
             peers=balancer("b1").peers,
@@ -51,7 +51,7 @@
         )
 
     def _take(self, found: Evacuation | EvacuationsRead) -> None:
-        self.heard.append("evacuations")
+        self.received.append("evacuations")
         match found:
             case Evacuation():
                 self.known = self.known.joined((found,))
@@ -66,35 +66,35 @@
         put = Put(key=EVACUATIONS + place, value=b"{}")
         await self.store.transact(compares=(), puts=(put,))
 
-    async def _take_back(self, place: str) -> None:
+    async def _delete_order(self, place: str) -> None:
         removes = (EVACUATIONS + place,)
         await self.store.transact(compares=(), puts=(), removes=removes)
 
     async def test_before_configuration(self):
-        """A reading tells of evacuations before anything can be placed."""
+        """Evacuations are put in force before the configuration."""
         put = Put(key=CONFIGURATION, value=b"c")
         await self.store.transact(compares=(), puts=(put,))
         await self._order(HERE)
         await self.link._read()
-        self.assertEqual(self.heard, ["evacuations", "configuration"])
+        self.assertEqual(self.received, ["evacuations", "configuration"])
         self.assertTrue(self.known.is_evacuated(HERE))
 
     async def test_before_copy(self):
-        """Nor is anything placed by a copy before evacuations are known."""
+        """Evacuations are put in force before the configuration copy."""
         await self._order(HERE)
         copy = encode_copy(ConfigurationCopy(version=1, packed=b"c"), keys=KEYS)
         put = Put(key=CONFIGURATION_COPY, value=copy)
         await self.store.transact(compares=(), puts=(put,))
         await self.link._load_copy()
-        self.assertEqual(self.heard, ["evacuations", "copy"])
+        self.assertEqual(self.received, ["evacuations", "copy"])
         self.assertTrue(self.known.is_evacuated(HERE))
 
     async def test_history(self):
-        """Orders and deletions since the reading are followed."""
+        """Orders and deletions after a read are learned from the watch."""
         revision = await self.link._read()
         await self._order(HERE)
         await self._order("dc-2")
-        await self._take_back(HERE)
+        await self._delete_order(HERE)
         watch = self.store.watch(
             CONFIGURATION, prefix=True, from_revision=revision.next
         )
@@ -103,10 +103,10 @@
         self.assertEqual(self.known.active, {"dc-2"})
 
     async def test_read_anew(self):
-        """A deletion that a compacted history doesn't tell of is found by reading."""
+        """A deletion missed by the watch is found by the next read."""
         await self._order(HERE)
         await self.link._read()
-        await self._take_back(HERE)
+        await self._delete_order(HERE)
         await self.link._read()
         self.assertFalse(self.known.is_evacuated(HERE))
 
@@ -124,7 +124,7 @@
         membership = rig.membership
         membership.evacuate(membership.evacuations.joined(orders))
 
-    def _targets(self, rig: SteeringRig, *, flows: int = 20) -> set[str]:
+    def _endpoints(self, rig: SteeringRig, *, flows: int = 20) -> set[str]:
         """Return the addresses that new flows go to."""
         found = set()
         for number in range(1, flows + 1):
@@ -135,27 +135,27 @@
         return found
 
     def test_elsewhere(self):
-        """New flows of its own callers go to another data centre."""
+        """New flows go to another data centre while the local one is evacuated."""
         rig = self._rig()
         self._evacuate(rig, order(5))
-        self.assertEqual(self._targets(rig, flows=2), {"10.2.0.3"})
+        self.assertEqual(self._endpoints(rig, flows=2), {"10.2.0.3"})
 
     def test_taken_back(self):
-        """After the order is taken back flows go there again."""
+        """New flows go to the data centre again after the order is deleted."""
         rig = self._rig()
         self._evacuate(rig, order(5))
         self._evacuate(rig, order(9, active=False))
-        self.assertGreater(len(self._targets(rig)), 1)
+        self.assertGreater(len(self._endpoints(rig)), 1)
 
     def test_all_evacuated(self):
-        """Where nobody serves callers are refused at once, not at their deadline."""
+        """If no target serves, callers are rejected at once, not at their deadline."""
         rig = self._rig()
         self._evacuate(rig, order(5), order(6, place="dc-2"))
         actions = rig.caller(packet(1, syn=True))
         self.assertEqual([a.reason for a in actions], ["no target serves"])
 
     def test_open_flows_stay(self):
-        """Packets of an open flow still go to its target there."""
+        """Packets of an open flow still go to its target."""
         rig = self._rig()
         (sent,) = rig.caller(packet(1, syn=True))
         self._evacuate(rig, order(5))
@@ -163,40 +163,40 @@
         self.assertEqual([a.endpoint for a in found], [sent.endpoint])
 
     def test_gossip(self):
-        """A peer's older word takes nothing back, its newer one does."""
+        """A peer's report changes an order only if its revision is newer."""
         rig = self._rig()
         peer = msgspec.structs.replace(OWN, name="lb-2", ip="10.1.0.2")
 
-        def hear(word: Evacuation) -> None:
-            gossip = Gossip(sender=peer, version=1, digest=b"", evacuations=(word,))
+        def receive(report: Evacuation) -> None:
+            gossip = Gossip(sender=peer, version=1, digest=b"", evacuations=(report,))
             rig.membership.from_process(
                 gossip, sender=peer.endpoint, now=SETTLED, draw=rig.draw
             )
 
-        hear(order(5))
+        receive(order(5))
         self.assertTrue(rig.membership.has_news)
-        hear(order(3, active=False))
-        self.assertEqual(self._targets(rig, flows=2), {"10.2.0.3"})
-        hear(order(8, active=False))
+        receive(order(3, active=False))
+        self.assertEqual(self._endpoints(rig, flows=2), {"10.2.0.3"})
+        receive(order(8, active=False))
         self.assertFalse(rig.membership.evacuations.active)
 
     def test_relayed(self):
-        """What a balancer knows rides on all its gossip."""
+        """Each gossip message carries the known evacuations."""
         rig = self._rig()
         peer = msgspec.structs.replace(OWN, name="lb-2", ip="10.1.0.2")
         rig.membership.peers.learn(peer)
         self._evacuate(rig, order(5))
-        (action,) = rig.membership.round(now=SETTLED, draw=rig.draw)
+        (action,) = rig.membership.gossip_round(now=SETTLED, draw=rig.draw)
         self.assertEqual(action.frame.evacuations, (order(5),))
 
     def test_agents_told(self):
-        """Agents there that beat to this balancer are told at once."""
+        """Affected agents that send heartbeats here are informed at once."""
         rig = self._rig()
         for name in ("maps-1", "maps-3"):
             load = rig.membership.table.candidates_of("maps", now=SETTLED)[0].load
             rig.membership.table.record_heartbeat(name, load, now=SETTLED)
         self._evacuate(rig, order(5))
-        (told,) = rig.membership.evacuation_acks(order(5), now=SETTLED)
-        self.assertEqual(told.endpoint[0], "10.2.0.1")
-        self.assertIsInstance(told.frame, HeartbeatAck)
-        self.assertEqual(told.frame.evacuation, order(5))
+        (action,) = rig.membership.evacuation_acks(order(5), now=SETTLED)
+        self.assertEqual(action.endpoint[0], "10.2.0.1")
+        self.assertIsInstance(action.frame, HeartbeatAck)
+        self.assertEqual(action.frame.evacuation, order(5))
--- a/tests/balancer/test_steering.py
+++ b/tests/balancer/test_steering.py
@@ -1,4 +1,4 @@
-"""Placing new flows: the choice, and what it is told wrongly."""
+"""Choice of targets for new flows, also with outdated load reports."""
 
 import random
 import unittest
@@ -25,7 +25,7 @@
 
 
 def choose_many(candidates: list, *, count: int = 2000, **options) -> Counter:
-    """Choose many times without feedback; count targets by name."""
+    """Choose many times without feedback; count the targets by name."""
     draw = random.Random(5)
     fields = {
         "data_centre": "dc-1",
@@ -44,10 +44,10 @@
 
 
 class ChoiceTests(unittest.TestCase):
-    """The choice of a target."""
+    """Each property of a target has its effect on the choice."""
 
     def test_equal_targets_share(self):
-        """Equal targets get equal shares."""
+        """Equal targets get about equal shares."""
         counts = choose_many([candidate(n) for n in range(1, 6)])
         self.assertLess(max(counts.values()) / 400, 1.2)
 
@@ -57,7 +57,7 @@
         self.assertEqual(counts, {"maps-2": 2000})
 
     def test_every_state_that_takes_nothing(self):
-        """Targets that are leaving, shedding and so on get no new flows."""
+        """Targets in any condition but serving get no new flows."""
         for condition in Condition:
             if condition is Condition.SERVING:
                 continue
@@ -66,7 +66,7 @@
                 self.assertEqual(counts, {"maps-2": 2000})
 
     def test_relayed_leaving_outweighs_old_report(self):
-        """A record that says leaving counts though the last report says serving."""
+        """A record in the leaving condition overrides a serving load report."""
         leaving = candidate(1)
         left = leaving.record.with_condition(Condition.LEAVING)
         leaving = Candidate(record=left, load=leaving.load)
@@ -84,26 +84,26 @@
         self.assertEqual(choose_many([suspected]), {"maps-1": 2000})
 
     def test_cold_target_gets_less(self):
-        """A target that has just begun gets a tenth, then more."""
+        """A target that has just started gets fewer flows."""
         counts = choose_many([candidate(1, age_ms=100), *map(candidate, (2, 3, 4))])
         self.assertLess(counts["maps-1"], 200)
 
     def test_slow_target_gets_less(self):
-        """Of two with equal work the one that takes longer a run loses."""
+        """Of two targets with equal work the one with the shorter service time wins."""
         slow = candidate(1, service_ms=90, in_flight=1)
         fast = candidate(2, service_ms=30, in_flight=1)
         counts = choose_many([slow, fast, candidate(3, service_ms=30, in_flight=1)])
         self.assertLess(counts["maps-1"], 300)
 
     def test_tried_are_not_tried_again(self):
-        """A target that sent the OPEN back isn't asked again."""
+        """A target that rejected the OPEN isn't chosen again."""
         counts = choose_many([candidate(1), candidate(2)], tried=("maps-1",))
         self.assertEqual(counts, {"maps-2": 2000})
         counts = choose_many([candidate(1)], tried=("maps-1",))
         self.assertEqual(counts, {"no target is free": 2000})
 
     def test_local_first_with_overflow(self):
-        """New flows stay in the data centre until its targets are busy."""
+        """With local preference, flows leave the data centre only if it is busy."""
         far = candidate(2, data_centre="dc-2")
         counts = choose_many([candidate(1), far], prefer=Preference.LOCAL)
         self.assertEqual(counts, {"maps-1": 2000})
@@ -112,7 +112,7 @@
         self.assertEqual(counts, {"maps-2": 2000})
 
     def test_empty_table(self):
-        """Without targets the answer is a refusal with a time to come back."""
+        """Without targets the result is a rejection with a retry delay."""
         choice = choose(
             [],
             data_centre="dc-1",
@@ -124,7 +124,7 @@
         self.assertGreater(choice.retry_after, 0)
 
     def test_same_idle_target_in_stale_reports(self):
-        """Many balancers with one stale report don't all pick the idle target."""
+        """Balancers with the same stale report don't all choose the idle target."""
         placed: Counter = Counter()
         for number in range(30):
             draw = random.Random(number)
@@ -144,5 +144,5 @@
                 )
                 sent[chosen.record.name] += 1
             placed += sent
-        # Two random choices alone bound its share near 2 of 7.
+        # Two random choices alone bound its share to about 2/7.
         self.assertLess(placed["maps-1"] / 600, 0.36)
--- a/tests/balancer/test_store_link.py
+++ b/tests/balancer/test_store_link.py
@@ -1,4 +1,4 @@
-"""A balancer's lease: paused holders, outages, and what peers read."""
+"""The store link of a balancer: registration, watchers and configuration copy."""
 
 import random
 import unittest
@@ -32,7 +32,7 @@
 
 
 class LinkTests(unittest.IsolatedAsyncioTestCase):
-    """Registration under a lease, with a clock that the test moves."""
+    """Registration under a lease, choice of watchers, and the configuration copy."""
 
     async def asyncSetUp(self) -> None:
         self.now = 1000.0
@@ -55,7 +55,7 @@
         return list((await self.platform.read(BALANCERS, prefix=True)).values_by_key)
 
     async def test_renewed(self):
-        """Renewals in time keep one lease and one registration."""
+        """Renewals before expiry keep one lease and one registration."""
         for _ in range(10):
             await self.link.registration.keep()
             self.now += 10
@@ -63,7 +63,7 @@
         self.assertEqual(self.link.registration.lease.id, 7001)
 
     async def test_paused_past_its_lease(self):
-        """A holder that wakes past its lease's end takes a new one."""
+        """A balancer that resumes after its lease has expired takes a new one."""
         await self.link.registration.keep()
         self.now += LEASE_TTL_SECONDS * 3
         self.assertEqual(await self._registered(), [])
@@ -71,13 +71,13 @@
         self.assertEqual(await self._registered(), [BALANCERS + "b1"])
         self.assertEqual(self.link.registration.lease.id, 7002)
 
-    async def test_woken_in_the_middle_of_a_write(self):
-        """A write that was under way when the lease ended takes no effect."""
+    async def test_paused_during_a_write(self):
+        """A write that arrives after the lease has expired is rejected."""
         await self.link.registration.keep()
         lease = self.link.registration.lease
         self.assertTrue(lease.may_act(now=self.now))
         put = Put(key=BALANCERS + "b1", value=b"old", lease=lease.id)
-        # Here the holder is stopped, past its lease, and then writes on.
+        # The process is paused here until its lease has expired.
         self.now += LEASE_TTL_SECONDS * 2
         with self.assertRaises(LeaseNotFoundError):
             await self.platform.transact(compares=(), puts=(put,))
@@ -85,7 +85,7 @@
         self.assertEqual(await self._registered(), [])
 
     async def test_outage(self):
-        """An outage takes nothing away; afterwards the balancer registers anew."""
+        """Peers stay known during an outage; then the balancer registers again."""
         await self.link.registration.keep()
         self.peers.learn(balancer("b2", host=2).peers.own)
         self.platform.is_down = True
@@ -98,13 +98,13 @@
         self.assertEqual(await self._registered(), [BALANCERS + "b1"])
 
     async def test_leaving(self):
-        """A leaving balancer gives its registration back at once."""
+        """A leaving balancer removes its registration at once."""
         await self.link.registration.keep()
         await self.link.leave()
         self.assertEqual(await self._registered(), [])
 
     async def test_lost_answer_of_registration(self):
-        """A registration whose answer was lost is made again, not believed."""
+        """A registration whose answer was lost is repeated."""
         self.platform.lost_answers = 1
         with self.assertRaises(StoreError):
             await self.link.registration.keep()
@@ -112,8 +112,8 @@
         await self.link.registration.keep()
         self.assertTrue(self.link.registration.lease.may_act(now=self.now))
 
-    async def test_other_writers(self):
-        """Entries that no balancer of ours wrote name nobody; the others hold."""
+    async def test_invalid_entries(self):
+        """Entries that no balancer wrote are ignored and logged."""
         mine = balancer("b2", host=2).peers.own
         codec = FrameCodec(keys=KEYS)
         values_by_name = {
@@ -131,11 +131,11 @@
         with capture_logs() as lines:
             await self.link._read()
         self.assertEqual(set(self.peers.records_by_name), {"b1", "b2"})
-        refused = [line for line in lines if line["event"] == "entries not usable"]
-        self.assertEqual([line["count"] for line in refused], [4])
+        rejected = [line for line in lines if line["event"] == "entries not usable"]
+        self.assertEqual([line["count"] for line in rejected], [4])
 
     def test_few_watch(self):
-        """However many balancers a data centre has, two of them watch."""
+        """At most two balancers of a data centre watch."""
         nodes = [balancer(f"b{n}", host=n) for n in range(1, 60)]
         for node in nodes:
             for other in nodes:
@@ -143,7 +143,7 @@
         watchers = [n for n in nodes if n.peers.is_watcher(now=1.0)]
         self.assertEqual(len(watchers), 2)
 
-    def _watchers(self, *, data_centres: int, unreached: str = "") -> list[str]:
+    def _watchers(self, *, data_centres: int, isolated: str = "") -> list[str]:
         """Return the data centres of the watchers among four balancers in each."""
         records = [
             record(f"b{n}", data_centre=f"dc-{n % data_centres}")
@@ -153,22 +153,22 @@
         for own in records:
             peers = Peers(own=own)
             for other in records:
-                if own.data_centre != unreached != other.data_centre:
+                if own.data_centre != isolated != other.data_centre:
                     peers.learn(other)
             if peers.is_watcher(now=1.0):
                 watchers.append(own.data_centre)
         return sorted(watchers)
 
     def test_one_watches_in_each_of_many_data_centres(self):
-        """Each watch costs a call in two seconds: three for the fleet are enough."""
+        """With three data centres or more, one balancer of each watches."""
         self.assertEqual(self._watchers(data_centres=2), ["dc-0"] * 2 + ["dc-1"] * 2)
         for count in (3, 6):
             watchers = self._watchers(data_centres=count)
             self.assertEqual(watchers, [f"dc-{n}" for n in range(count)])
 
-    def test_who_is_cut_off_watches_too(self):
-        """Balancers that know no others look themselves."""
-        watchers = self._watchers(data_centres=3, unreached="dc-2")
+    def test_isolated_balancers_watch_too(self):
+        """Balancers that know no others watch the store themselves."""
+        watchers = self._watchers(data_centres=3, isolated="dc-2")
         self.assertEqual(watchers, ["dc-0"] * 2 + ["dc-1"] * 2 + ["dc-2"] * 4)
 
     async def _put_copy(self, version: int, packed: bytes = b"packed") -> None:
@@ -178,8 +178,8 @@
         put = Put(key=CONFIGURATION_COPY, value=value)
         await self.platform.transact(compares=(), puts=(put,))
 
-    async def test_begins_with_the_copy(self):
-        """Who starts puts the copy in force without the operators' whole value."""
+    async def test_starts_with_the_copy(self):
+        """A starting balancer puts the copy in force without reading the full value."""
         await self._put_copy(3)
         await self.platform.transact(
             compares=(), puts=(Put(key=CONFIGURATION, value=b"large"),)
@@ -188,8 +188,8 @@
         self.configuration.take_packed.assert_called_once_with(b"packed")
         self.configuration.take.assert_not_called()
 
-    async def test_begins_without_a_copy(self):
-        """Where there is none, or it is somebody else's, the value itself is read."""
+    async def test_starts_without_a_copy(self):
+        """Without a valid copy the stored configuration itself is read."""
         for value in (None, b"\xff", b"\x01" * 40):
             if value is not None:
                 put = Put(key=CONFIGURATION_COPY, value=value)
@@ -198,18 +198,18 @@
             self.configuration.take_packed.assert_not_called()
             self.assertLess(self.link._last_read, 0)
 
-    async def test_copies_follow(self):
-        """A newer configuration replaces the copy, an older one never does."""
+    async def test_only_newer_copies_are_written(self):
+        """A newer configuration replaces the copy, an older one doesn't."""
         copies = ConfigurationCopies(store=self.platform, keys=KEYS)
-        for version, follows in ((5, True), (4, False), (6, True)):
-            self.assertEqual(copies.is_older_than(version), follows)
-            if follows:
+        for version, is_newer in ((5, True), (4, False), (6, True)):
+            self.assertEqual(copies.is_older_than(version), is_newer)
+            if is_newer:
                 copy = ConfigurationCopy(version=version, packed=b"p")
                 self.assertTrue(await copies.write(copy))
         self.assertEqual((await copies.read()).version, 6)
 
-    async def test_two_keepers(self):
-        """Of two that write at once one finds the other's copy, and keeps it."""
+    async def test_concurrent_writers(self):
+        """Of two concurrent writers the second one finds and keeps the first's copy."""
         first = ConfigurationCopies(store=self.platform, keys=KEYS)
         second = ConfigurationCopies(store=self.platform, keys=KEYS)
         self.assertTrue(await first.write(ConfigurationCopy(version=7, packed=b"n")))
@@ -219,7 +219,7 @@
         self.assertEqual((await first.read()).version, 7)
 
     async def test_too_large_a_copy(self):
-        """What no store takes is tried once."""
+        """A copy that exceeds the stores' size limit is not written or retried."""
         copies = ConfigurationCopies(store=self.platform, keys=KEYS)
         large = ConfigurationCopy(version=2, packed=bytes(MAX_COPY_BYTES))
         self.assertFalse(await copies.write(large))
--- a/tests/balancer/test_store_return.py
+++ b/tests/balancer/test_store_restore.py
@@ -1,4 +1,4 @@
-"""The store comes back from a copy some seconds old: what balancers do then."""
+"""Behaviour of balancers after the store was restored from a backup."""
 
 import asyncio
 import contextlib
@@ -27,8 +27,8 @@
 PLACE = "dc-2"
 
 
-class ReturnTests(unittest.IsolatedAsyncioTestCase):
-    """One balancer's link with a store that loses seconds, and a clock to move."""
+class RestoreTests(unittest.IsolatedAsyncioTestCase):
+    """The store link of one balancer, with a restored store."""
 
     async def asyncSetUp(self) -> None:
         self.now = 1000.0
@@ -36,7 +36,7 @@
         self.store = self.platform.store
         self.known = Evacuations()
         self.membership = Membership(own=balancer("b1").peers.own)
-        self.returns: list[tuple[int, str]] = []
+        self.restores: list[tuple[int, str]] = []
         self.copies = ConfigurationCopies(store=self.platform, keys=KEYS)
         self.link = StoreLink(
             store=self.platform,
@@ -48,7 +48,7 @@
             draw=random.Random(1),
             clock=lambda: self.now,
             generation=self.membership.store_generation,
-            on_restored=lambda old, at: self.returns.append((old, str(at))),
+            on_restored=lambda old, at: self.restores.append((old, str(at))),
         )
 
     def _take(self, found: Evacuation | EvacuationsRead) -> None:
@@ -64,11 +64,11 @@
         put = Put(key=EVACUATIONS + PLACE, value=b"{}")
         await self.platform.transact(compares=(), puts=(put,))
 
-    async def _take_back(self) -> None:
+    async def _delete_order(self) -> None:
         removes = (EVACUATIONS + PLACE,)
         await self.platform.transact(compares=(), puts=(), removes=removes)
 
-    async def _hear(self, generation: int) -> None:
+    async def _receive_generation(self, generation: int) -> None:
         gossip = Gossip(
             sender=balancer("b2", host=2).peers.own,
             version=0,
@@ -92,9 +92,9 @@
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
-    async def _wait_for(self, is_so: Callable[[], object]) -> None:
+    async def _wait_for(self, condition: Callable[[], object]) -> None:
         async with asyncio.timeout(2.0):
-            while not is_so():
+            while not condition():
                 await asyncio.sleep(0.02)
 
     async def _wait_registered(self) -> None:
@@ -103,103 +103,103 @@
                 await asyncio.sleep(0.02)
 
     async def test_registered_again(self):
-        """The registration is back in two seconds, from the store's answer."""
-        copy = self.store.copy()
+        """The balancer registers again when an answer reveals the restore."""
+        backup = self.store.copy()
         async with self._running(self.link.registration.run()):
             await self._wait_registered()
             await self.link._read()
-            self.store.restore(copy)
+            self.store.restore(backup)
             self.assertFalse(await self._is_registered())
             await self.link._read()
             await self._wait_registered()
-        self.assertEqual(self.returns, [(0, "1:1")])
+        self.assertEqual(self.restores, [(0, "1:1")])
 
-    async def test_registered_again_by_a_peers_word(self):
-        """Who hardly ever reads the store hears of its return from a peer."""
-        copy = self.store.copy()
+    async def test_registered_again_after_gossip(self):
+        """The balancer registers again when a peer reports the restore."""
+        backup = self.store.copy()
         async with self._running(self.link.registration.run()):
             await self._wait_registered()
-            self.store.restore(copy)
-            await self._hear(1)
+            self.store.restore(backup)
+            await self._receive_generation(1)
             self.assertTrue(self.membership.has_news)
             self.link.store_restored()
             await self._wait_registered()
 
-    async def test_lease_given_out_again(self):
-        """A lease of the lost seconds is another's by now: neither kept nor ended."""
-        copy = self.store.copy()
+    async def test_reused_lease_id(self):
+        """A lease of a lost generation, whose id was reused, is left alone."""
+        backup = self.store.copy()
         await self.link.registration.keep()
-        self.store.restore(copy)
+        self.store.restore(backup)
         other = await self.platform.grant(ttl_seconds=LEASE_TTL_SECONDS)
         self.assertEqual(other, self.link.registration.lease.id)
         await self.link.registration.keep()
         self.assertTrue(await self._is_registered())
         self.assertNotEqual(other, self.link.registration.lease.id)
-        self.store.restore(copy)
+        self.store.restore(backup)
         other = await self.platform.grant(ttl_seconds=LEASE_TTL_SECONDS)
         self.link.registration.lease = self.link.registration.lease.released().granted(
             other, ttl_seconds=LEASE_TTL_SECONDS, asked_at=self.now
         )
-        await self._hear(2)
+        await self._receive_generation(2)
         await self.link.leave()
         self.assertEqual(await self.platform.renew(other), LEASE_TTL_SECONDS)
 
-    async def test_return_in_the_middle_of_a_registration(self):
-        """A lease and a registration of two generations are no registration."""
+    async def test_restore_during_a_registration(self):
+        """A registration with a lease of an earlier generation is not valid."""
         await self.platform.read(BALANCERS)
         grant = self.platform.grant
 
-        async def grant_then_return(*, ttl_seconds):
+        async def grant_then_restore(*, ttl_seconds):
             lease = await grant(ttl_seconds=ttl_seconds)
-            copy = self.store.copy()
-            self.store.restore(copy)
+            backup = self.store.copy()
+            self.store.restore(backup)
             return lease
 
         with (
-            mock.patch.object(self.platform, "grant", grant_then_return),
+            mock.patch.object(self.platform, "grant", grant_then_restore),
             self.assertRaises(StoreError),
         ):
             await self.link.registration.keep()
         self.assertFalse(self.link.registration.lease.may_act(now=self.now))
 
-    async def test_order_that_the_copy_lacks(self):
-        """A data centre stays evacuated until its order is written again."""
-        copy = self.store.copy()
+    async def test_order_missing_in_the_backup(self):
+        """A lost order stays in force until it is written again and deleted."""
+        backup = self.store.copy()
         for _ in range(5):
             await self._order()
         await self.link._read()
-        self.store.restore(copy)
+        self.store.restore(backup)
         revision = await self.link._read()
         self.assertTrue(self.known.is_evacuated(PLACE))
         watch = self.platform.watch(
             CONFIGURATION, prefix=True, from_revision=revision.next
         )
-        for change, is_evacuated in ((self._order, True), (self._take_back, False)):
+        for change, is_evacuated in ((self._order, True), (self._delete_order, False)):
             await change()
             self.link._take_event(await anext(watch))
             self.assertIs(self.known.is_evacuated(PLACE), is_evacuated)
 
     async def test_order_that_is_not_written_again(self) -> None:
-        """One that nobody writes again is dropped after the time that it takes."""
-        copy = self.store.copy()
+        """A lost order that isn't written again ends after `RESTATE_SECONDS`."""
+        backup = self.store.copy()
         await self._order()
         with mock.patch.object(store_link, "WATCH_CHECK_SECONDS", 0.02):
             async with self._running(self.link._watch_or_poll_forever()):
                 await self._wait_for(lambda: self.known.is_evacuated(PLACE))
-                self.store.restore(copy)
-                await self._wait_for(lambda: self.returns)
+                self.store.restore(backup)
+                await self._wait_for(lambda: self.restores)
                 await asyncio.sleep(0.2)
                 self.assertTrue(self.known.is_evacuated(PLACE))
                 self.now += RESTATE_SECONDS
                 await self._wait_for(lambda: not self.known.is_evacuated(PLACE))
 
     async def test_lost_copy(self):
-        """A configuration's copy that was lost is written again, a newer one kept."""
-        nothing = self.store.copy()
+        """A lost copy of the configuration is written again; a newer one is kept."""
+        empty_backup = self.store.copy()
         newer = ConfigurationCopy(version=7, packed=b"n")
         await self.copies.write(newer)
         await self.link._read()
-        self.store.restore(nothing)
+        self.store.restore(empty_backup)
         self.assertFalse(self.copies.is_older_than(7))
         await self.link._read()
         self.assertTrue(self.copies.is_older_than(7))
@@ -209,13 +209,13 @@
         self.assertFalse(await self.copies.write(late))
         self.assertEqual((await self.copies.read()).version, 7)
 
-    async def test_copy_written_while_the_store_returns(self) -> None:
-        """A write's late answer doesn't hide that its copy is lost."""
-        nothing, transact = self.store.copy(), self.platform.transact
+    async def test_copy_written_during_a_restore(self) -> None:
+        """The delayed answer to a write doesn't hide that its copy is lost."""
+        empty_backup, transact = self.store.copy(), self.platform.transact
 
         async def written_then_lost(**write):
             result = await transact(**write)
-            self.store.restore(nothing)
+            self.store.restore(empty_backup)
             self.link.store_restored()
             return result
 
@@ -224,11 +224,11 @@
             self.assertFalse(await self.copies.write(newest))
         self.assertTrue(self.copies.is_older_than(7))
 
-    async def test_first_word_is_no_return(self):
-        """A process that starts with a store that once came back reports none."""
+    async def test_first_generation_is_no_restore(self):
+        """A process that starts after a restore of the store doesn't report it."""
         self.store.generation = 3
         await self.link._read()
-        self.assertEqual(self.returns, [])
+        self.assertEqual(self.restores, [])
         self.assertEqual(self.membership.store_generation.number, 3)
-        await self._hear(2)
+        await self._receive_generation(2)
         self.assertEqual(self.membership.store_generation.number, 3)
