--- a/monsoonpier/balancer/member.py
+++ b/monsoonpier/balancer/member.py
@@ -284,7 +284,7 @@
     # Restore of the store from a backup
 
     def _take_store_restored(self, old_generation: int, revision: Revision) -> None:
-        self._membership.has_news = True
+        self._membership.has_updates = True
         self._log_restored(
             old_generation, learned_from="store", revision=revision.number
         )
@@ -310,7 +310,7 @@
             until = _now() + seconds
             while _now() < until:
                 await asyncio.sleep(min(self._update_check_seconds, seconds))
-                if self._membership.has_news:
+                if self._membership.has_updates:
                     self._send_round(eager=True)
 
     @property
--- a/monsoonpier/balancer/membership.py
+++ b/monsoonpier/balancer/membership.py
@@ -37,7 +37,7 @@
         peers: The known balancers.
         table: The known targets.
         configuration: The configuration in force.
-        has_news: An update should be gossiped at once.
+        has_updates: An update should be gossiped at once.
         has_agreed: The table of a peer that has converged was equal to this one.
         has_agreed_with_any: The table of any peer was. This is weaker evidence:
             balancers that have just started may know the same few targets.
@@ -56,7 +56,7 @@
         self.configuration = Configuration()
         self.evacuations = Evacuations()
         self.store_generation = StoreGeneration()
-        self.has_news = False
+        self.has_updates = False
         self.has_agreed = False
         self.has_agreed_with_any = False
         self.started_at = started_at
@@ -198,7 +198,7 @@
         self, *, now: float, draw: random.Random, eager: bool = False
     ) -> list[ToAgent]:
         """Return one round of gossip; an eager one is sent at once for an update."""
-        self.has_news = False
+        self.has_updates = False
         if not eager:
             for silence in self.table.changed_silences(
                 observer=self.peers.own.name, now=now
@@ -212,7 +212,7 @@
 
     def _queue_update(self, item: TargetRecord | SilenceReport) -> None:
         self.peers.queue_update(item)
-        self.has_news = True
+        self.has_updates = True
 
     def _answer(
         self,
@@ -267,20 +267,20 @@
         if configuration.version <= self.configuration.version:
             return False
         self.configuration = configuration
-        self.has_news = True
+        self.has_updates = True
         return True
 
     def evacuate(self, evacuations: Evacuations) -> None:
         """Put evacuation orders in force, and gossip at once if any changed."""
         if evacuations.known != self.evacuations.known:
             self.table.evacuated = evacuations.active
-            self.has_news = True
+            self.has_updates = True
         self.evacuations = evacuations
 
     def _learn_generation(self, number: int, *, now: float) -> None:
         """Process the store generation that a peer reports; 0 means unknown."""
         if number and self.store_generation.learn(number, source="peer", now=now):
-            self.has_news = True
+            self.has_updates = True
 
     def evacuation_acks(self, order: Evacuation, *, now: float) -> list[ToAgent]:
         """Return messages that inform the affected agents of an order at once.
--- a/monsoonpier/wire/frames.py
+++ b/monsoonpier/wire/frames.py
@@ -224,8 +224,8 @@
 class Carry(_Frame, tag=9, kw_only=True, gc=False):
     """Forwards a packet of a flow without a token to an agent.
 
-    ``asks`` requests a reply in any case, since the balancer doesn't know whether
-    this agent owns the flow. ``reply_to`` is the balancer's address if the frame
+    ``asks`` requests a reply in any case, since the balancer doesn't know
+    whether this agent owns the flow. ``reply_to`` is the balancer's address if the frame
     was relayed by another agent. The other fields come with a SYN: ``tried`` names
     the targets that it has been sent to, ``in_time_ms`` is the time left until the
     answer would be late, ``wait_ms`` how long the caller still waits for a slot,
@@ -389,9 +389,10 @@
 class Refused(_Frame, tag=30, kw_only=True, gc=False):
     """Reports to a caller's directory balancer that an attempt got no slot.
 
-    ``asked_ms`` is the time since the caller's first attempt, ``back_ms`` the time
-    until its next attempt is possible, 0 if the caller is reset now. ``tries``
-    counts the attempts, including this one.
+    ``tries`` counts the caller's attempts, including this one.
+    ``asked_ms`` is the time since the first of them.
+    ``back_ms`` is the time until the next one is possible, 0 if the caller is reset
+    now.
     """
 
     caller: Ip
--- a/tests/balancer/test_decision.py
+++ b/tests/balancer/test_decision.py
@@ -294,7 +294,7 @@
                 (node, action)
                 for node in nodes
                 for action in node.membership.gossip_round(
-                    now=now, draw=draw, eager=node.membership.has_news
+                    now=now, draw=draw, eager=node.membership.has_updates
                 )
             ]
             while queue:
--- a/tests/balancer/test_evacuation.py
+++ b/tests/balancer/test_evacuation.py
@@ -174,7 +174,7 @@
             )
 
         receive(order(5))
-        self.assertTrue(rig.membership.has_news)
+        self.assertTrue(rig.membership.has_updates)
         receive(order(3, active=False))
         self.assertEqual(self._endpoints(rig, flows=2), {"10.2.0.3"})
         receive(order(8, active=False))
--- a/tests/balancer/test_store_restore.py
+++ b/tests/balancer/test_store_restore.py
@@ -121,7 +121,7 @@
             await self._wait_registered()
             self.store.restore(backup)
             await self._receive_generation(1)
-            self.assertTrue(self.membership.has_news)
+            self.assertTrue(self.membership.has_updates)
             self.link.store_restored()
             await self._wait_registered()
 
