--- a/monsoonpier/balancer/configuration_copy.py
+++ b/monsoonpier/balancer/configuration_copy.py
@@ -1,4 +1,4 @@
-"""A compressed copy of the configuration in the store, for starting balancers.
+"""A compact copy of the configuration in the store, for starting balancers.
 
 It shortens a restart of all balancers at once, for example after a power failure:
 the copy is much smaller than the operators' value.
--- a/monsoonpier/balancer/member.py
+++ b/monsoonpier/balancer/member.py
@@ -52,7 +52,7 @@
 STARTUP_GOSSIP_SECONDS = 0.15
 PROBED_PEERS = 3  # a bound, so that large fleets aren't flooded
 CONTACT_CHECK_SECONDS = 0.2
-FIRST_JOIN_SECONDS = 0.03  # first interval of messages while no target is known
+FIRST_JOIN_SECONDS = 0.03  # first interval of join messages
 MAX_JOIN_SECONDS = 0.2
 JOIN_PEERS = 4  # beside the seeds
 _log = structlog.get_logger("monsoonpier.balancer.member")
@@ -333,7 +333,7 @@
             self._send_join()
 
     def _send_join(self) -> None:
-        """Gossip to the seeds and some peers, while no target is known.
+        """Send gossip to the seeds and some peers, while no target is known.
 
         The seeds alone are not enough, since they may be the last to start.
         """
--- a/monsoonpier/balancer/membership.py
+++ b/monsoonpier/balancer/membership.py
@@ -25,7 +25,7 @@
 # which leaves agents the time to announce themselves.
 AGREED_SECONDS = 1.0
 ALONE_SECONDS = 4.0
-NEAR_BALANCERS = 6  # named to an agent, which heartbeats to the first few it reaches
+NAMED_BALANCERS = 6  # named to an agent, which heartbeats to the first few it reaches
 
 
 class Membership:
@@ -115,7 +115,7 @@
     ) -> ToAgent:
         allowed = True
         cold_per_second = 0.0
-        near: tuple = ()
+        balancers: tuple = ()
         if record is not None and self.configuration.version:
             allowed = self.configuration.allows(
                 service=record.service, target=record.name
@@ -124,14 +124,16 @@
             limits = self.configuration.cold_per_second_by_service
             cold_per_second = limits.get(record.service, 0.0)
         if record is not None and name_balancers:
-            near = self.peers.balancers_for(record.name, count=NEAR_BALANCERS, now=now)
+            balancers = self.peers.balancers_for(
+                record.name, count=NAMED_BALANCERS, now=now
+            )
         ack = HeartbeatAck(
             balancer=self.peers.own.name,
             version=self.configuration.version,
             known=known,
             allowed=allowed,
             leaving=self.peers.own.leaving,
-            balancers=near,
+            balancers=balancers,
             held_epoch=record.epoch if record is not None else 0,
             evacuation=self.evacuations.of(record.data_centre) if record else None,
             cold_per_second=cold_per_second,
--- a/monsoonpier/balancer/peers.py
+++ b/monsoonpier/balancer/peers.py
@@ -26,7 +26,7 @@
 EXCLUDED_SECONDS = 30.0
 EXTRA_ROUNDS = 3  # rounds that carry an update, beyond log2 of the number of peers
 MAX_UPDATES = 4_096
-INTRODUCED = 1  # other balancers named in each gossip datagram
+INTRODUCED_PEERS = 1  # other balancers named in each gossip datagram
 # Balancers that watch the platform, over all data centres. Three let one be down and
 # another wait for a lost answer. Each data centre has at least one, so that it learns
 # of changes while it is cut off from the others.
@@ -226,7 +226,7 @@
 
     def _message(self, *, draw: random.Random, **content) -> Gossip:
         known = list(self._peers_by_name.values())
-        introduced = draw.sample(known, min(INTRODUCED, len(known)))
+        introduced = draw.sample(known, min(INTRODUCED_PEERS, len(known)))
         records = [peer.record for peer in introduced]
         if self._newer_record_of_peer is not None:
             records.insert(0, self._newer_record_of_peer)
@@ -234,7 +234,7 @@
         return Gossip(sender=self._own, balancers=tuple(records), **content)
 
     def is_copy_writer(self, *, now: float) -> bool:
-        """Return whether this balancer writes the store's copy of the configuration."""
+        """Return whether this balancer writes the compact copy to the store."""
         responsive = self._responsive(now=now)
         return self._own.name in top("configuration copy", responsive, count=1)
 
--- a/monsoonpier/balancer/registration.py
+++ b/monsoonpier/balancer/registration.py
@@ -84,7 +84,7 @@
         backoff = Backoff()
         while not self._peers.own.leaving:
             try:
-                await self.keep()
+                await self.renew_or_register()
                 backoff = backoff.after_success()
                 await self._pause(RENEW_SECONDS * self._draw.uniform(0.8, 1.0))
             except StoreError as error:
@@ -107,8 +107,8 @@
         """Whether the registration was written in the store's current generation."""
         return self._registered_generation >= self._generation.number
 
-    async def keep(self) -> None:
-        """Renew the lease; register again if it has expired or is of no use."""
+    async def renew_or_register(self) -> None:
+        """Renew the lease; register if there is no lease of the current generation."""
         asked_at = self._now()
         if self.lease.may_act(now=asked_at) and self._is_registration_current:
             try:
--- a/monsoonpier/balancer/store_generation.py
+++ b/monsoonpier/balancer/store_generation.py
@@ -47,7 +47,7 @@
         self.returns_by_source[source] = self.returns_by_source.get(source, 0) + 1
         return True
 
-    def is_restated(self, *, now: float) -> bool:
+    def has_restate_time_passed(self, *, now: float) -> bool:
         """Return whether lost orders would have been written again by now."""
         if self.number == 0 or self._known_since is None:
             return True
--- a/monsoonpier/balancer/store_link.py
+++ b/monsoonpier/balancer/store_link.py
@@ -74,7 +74,7 @@
         store: The platform's key-value service.
         peers: The known balancers; registered ones are added.
         codec: Encodes this balancer's registration.
-        copies: Reads and writes the compressed copy of the configuration.
+        copies: Reads and writes the compact copy of the configuration.
         configuration: Receives each value of the configuration.
         evacuate: Called with each evacuation order or deletion, and with all orders
             after each read.
@@ -244,7 +244,7 @@
         balancers learn the result by gossip.
         """
         number = self._generation.number
-        is_due = self._generation.is_restated(now=self._now())
+        is_due = self._generation.has_restate_time_passed(now=self._now())
         return self._conclusive_generation < number and is_due
 
     async def _try_conclusive_read(self) -> None:
@@ -257,7 +257,7 @@
 
     def _take_evacuations(self, stored: Snapshot) -> None:
         self._learn_generation(stored.revision)
-        is_conclusive = self._generation.is_restated(now=self._now())
+        is_conclusive = self._generation.has_restate_time_passed(now=self._now())
         if is_conclusive:
             self._conclusive_generation = stored.revision.generation
         self._evacuate(_evacuations_in(stored, is_conclusive=is_conclusive))
--- a/monsoonpier/wire/frames.py
+++ b/monsoonpier/wire/frames.py
@@ -225,12 +225,13 @@
     """Forwards a packet of a flow without a token to an agent.
 
     ``asks`` requests a reply in any case, since the balancer doesn't know
-    whether this agent owns the flow. ``reply_to`` is the balancer's address if the frame
-    was relayed by another agent. The other fields come with a SYN: ``tried`` names
-    the targets that it has been sent to, ``in_time_ms`` is the time left until the
-    answer would be late, ``wait_ms`` how long the caller still waits for a slot,
-    ``priority`` that of the route; ``is_offered`` says that the SYN takes a slot
-    that the agent has offered.
+    whether this agent owns the flow. ``reply_to`` is the balancer's address if
+    the frame was relayed by another agent.
+
+    The other fields come with a SYN. ``tried`` names the targets that it has been
+    sent to, ``in_time_ms`` is the time left to meet the latency target, ``wait_ms``
+    how long the caller still waits for a slot, ``priority`` that of the route.
+    ``is_offered`` says that the SYN takes a slot that the agent has offered.
     """
 
     service: Name
@@ -269,7 +270,7 @@
 
 
 class Turned(_Frame, tag=12, kw_only=True, gc=False):
-    """Returns a SYN rejected by an agent or its target, for another target."""
+    """Returns a SYN that an agent or its target rejected, for another target."""
 
     agent: Name
     payload: Payload
@@ -304,8 +305,8 @@
 class Offer(_Frame, tag=22, kw_only=True, gc=False):
     """Offers a slot, for a short time, to a balancer that has requested one.
 
-    ``is_late_turn`` asks for a flow that can't be answered in time any more, the one
-    that gives up first.
+    ``is_late_turn`` asks for a flow that can't meet its latency target any more, the
+    one that gives up first.
     """
 
     agent: Name
@@ -391,8 +392,8 @@
 
     ``tries`` counts the caller's attempts, including this one.
     ``asked_ms`` is the time since the first of them.
-    ``back_ms`` is the time until the next one is possible, 0 if the caller is reset
-    now.
+    ``back_ms`` is the time until the next one is possible, 0 if the caller is
+    reset now.
     """
 
     caller: Ip
--- a/tests/balancer/test_store_link.py
+++ b/tests/balancer/test_store_link.py
@@ -57,23 +57,23 @@
     async def test_renewed(self):
         """Renewals before expiry keep one lease and one registration."""
         for _ in range(10):
-            await self.link.registration.keep()
+            await self.link.registration.renew_or_register()
             self.now += 10
         self.assertEqual(await self._registered(), [BALANCERS + "b1"])
         self.assertEqual(self.link.registration.lease.id, 7001)
 
     async def test_paused_past_its_lease(self):
         """A balancer that resumes after its lease has expired takes a new one."""
-        await self.link.registration.keep()
+        await self.link.registration.renew_or_register()
         self.now += LEASE_TTL_SECONDS * 3
         self.assertEqual(await self._registered(), [])
-        await self.link.registration.keep()
+        await self.link.registration.renew_or_register()
         self.assertEqual(await self._registered(), [BALANCERS + "b1"])
         self.assertEqual(self.link.registration.lease.id, 7002)
 
     async def test_paused_during_a_write(self):
         """A write that arrives after the lease has expired is rejected."""
-        await self.link.registration.keep()
+        await self.link.registration.renew_or_register()
         lease = self.link.registration.lease
         self.assertTrue(lease.may_act(now=self.now))
         put = Put(key=BALANCERS + "b1", value=b"old", lease=lease.id)
@@ -86,20 +86,20 @@
 
     async def test_outage(self):
         """Peers stay known during an outage; then the balancer registers again."""
-        await self.link.registration.keep()
+        await self.link.registration.renew_or_register()
         self.peers.learn(balancer("b2", host=2).peers.own)
         self.platform.is_down = True
         with self.assertRaises(StoreError):
-            await self.link.registration.keep()
+            await self.link.registration.renew_or_register()
         self.assertIn("b2", self.peers.records_by_name)
         self.now += LEASE_TTL_SECONDS * 2
         self.platform.is_down = False
-        await self.link.registration.keep()
+        await self.link.registration.renew_or_register()
         self.assertEqual(await self._registered(), [BALANCERS + "b1"])
 
     async def test_leaving(self):
         """A leaving balancer removes its registration at once."""
-        await self.link.registration.keep()
+        await self.link.registration.renew_or_register()
         await self.link.leave()
         self.assertEqual(await self._registered(), [])
 
@@ -107,9 +107,9 @@
         """A registration whose answer was lost is repeated."""
         self.platform.lost_answers = 1
         with self.assertRaises(StoreError):
-            await self.link.registration.keep()
+            await self.link.registration.renew_or_register()
         self.assertFalse(self.link.registration.lease.may_act(now=self.now))
-        await self.link.registration.keep()
+        await self.link.registration.renew_or_register()
         self.assertTrue(self.link.registration.lease.may_act(now=self.now))
 
     async def test_invalid_entries(self):
--- a/tests/balancer/test_store_restore.py
+++ b/tests/balancer/test_store_restore.py
@@ -128,11 +128,11 @@
     async def test_reused_lease_id(self):
         """A lease of a lost generation, whose id was reused, is left alone."""
         backup = self.store.copy()
-        await self.link.registration.keep()
+        await self.link.registration.renew_or_register()
         self.store.restore(backup)
         other = await self.platform.grant(ttl_seconds=LEASE_TTL_SECONDS)
         self.assertEqual(other, self.link.registration.lease.id)
-        await self.link.registration.keep()
+        await self.link.registration.renew_or_register()
         self.assertTrue(await self._is_registered())
         self.assertNotEqual(other, self.link.registration.lease.id)
         self.store.restore(backup)
@@ -159,7 +159,7 @@
             mock.patch.object(self.platform, "grant", grant_then_restore),
             self.assertRaises(StoreError),
         ):
-            await self.link.registration.keep()
+            await self.link.registration.renew_or_register()
         self.assertFalse(self.link.registration.lease.may_act(now=self.now))
 
     async def test_order_missing_in_the_backup(self):
