--- a/monsoonpier/agent/packets/__init__.py
+++ b/monsoonpier/agent/packets/__init__.py
@@ -1,1 +1,1 @@
-"""Agents of flows without a token: decisions, and the process around them."""
+"""Agents of flows without a token: packet logic and process."""
--- a/monsoonpier/agent/packets/actions.py
+++ b/monsoonpier/agent/packets/actions.py
@@ -1,4 +1,4 @@
-"""What an agent's decisions on packets lead to."""
+"""Actions that the agent's packet logic returns for the process to carry out."""
 
 import msgspec
 
@@ -12,7 +12,7 @@
 
 
 class ToCallerPacket(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """Send a target's packet to its caller."""
+    """Send a packet of the target to its caller."""
 
     ip: str
     raw: bytes
@@ -20,14 +20,14 @@
 
 
 class ToProcess(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """Send a frame to a balancer's or another agent's internal address."""
+    """Send a frame to the internal address of a balancer or of another agent."""
 
     endpoint: tuple[str, int]
     frame: object
 
 
 class ResetFlow(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """Send a flow's caller a reset: the target that held it has ended."""
+    """Send a reset to a flow's caller, since the flow's target has ended."""
 
     ip: str
     flow: bytes
--- a/monsoonpier/agent/packets/admission.py
+++ b/monsoonpier/agent/packets/admission.py
@@ -1,21 +1,21 @@
-"""Which new flows without a token an agent lets through to its target, and when.
+"""Decides which new flows without a token an agent delivers to its target.
 
-The load that it answers: several balancers have flows for the same slots. A SYN that
-meets a free slot is delivered, one that doesn't waits in a short queue, and what has
-no room there goes back to its balancer at once, with the target's present load.
+A SYN that finds a free slot is delivered. Otherwise it waits in a short queue,
+or is rejected at once with the target's present load if the queue has no room
+for it.
 
-Where flows wait at balancers, slots are not for whoever sends first: they are offered
-by the order of all that wait (`reservations`).
+While balancers have reserved slots for flows that wait there, free slots are
+offered to these in the order of all waiting flows (see `reservations`).
 
-Between a SYN and its first request a slot stands empty for a way to the caller and
-back. Where runs are short that is much of the time, so the next SYN is delivered
-while the slot is still taken: its handshake passes during the run before.
+Between a SYN and its first request the slot is empty for a round trip to the
+caller. Where requests are short, the next SYN is therefore delivered while the
+slot is still taken, so that its handshake passes during the request before.
 """
 
 from collections import Counter
 
 from monsoonpier.agent.packets.actions import ToProcess, ToTarget
-from monsoonpier.agent.packets.expectation import Expectations
+from monsoonpier.agent.packets.expectation import ExpectedPackets
 from monsoonpier.agent.packets.flows import PacketFlow, Phase
 from monsoonpier.agent.packets.load import TargetLoad
 from monsoonpier.agent.packets.queue import AdmissionQueue, QueuedSyn
@@ -30,12 +30,11 @@
 NO_SLOT = "no slot is free"
 NO_SLOT_IN_TIME = "no slot came free"
 EVACUATED = "data centre evacuated"
-# Of a run, that a handshake takes at least for the next one to begin during it. With
-# runs of 16 ms on one slot, nine slots in ten in use, 0.998 of answers were in time
-# and 0.920 without (46 targets, callers 3 ms away, simulated time). With handshakes of
-# a twentieth of a run it gained nothing: what was delivered is no longer in order.
+# Shortest handshake, as a share of the service time, for which the next SYN is
+# delivered early. With shorter ones little is gained, and a SYN that is
+# delivered can no longer be overtaken by a more urgent one.
 MIN_HANDSHAKE_SHARE = 0.1
-FORCED_TRIES = 3  # a SYN turned away so often may wait for one run at the target
+QUEUE_AHEAD_ATTEMPTS = 3  # rejections after which a SYN may wait at the target
 
 
 class FlowAdmission:
@@ -43,17 +42,18 @@
 
     Args:
         name: The target's name, as balancers know it.
-        service: The only service whose flows are let through.
-        connections: How many flows the target holds at the most.
-        load: The count of what the target works on.
-        flows_by_address: The flows that the target holds; new ones are added.
-        counts_by_result: Decisions, for metrics.
-        log: Takes a line for each decision.
+        service: The only service whose flows are accepted.
+        connections: How many flows the target can own at once.
+        load: The target's load.
+        flows_by_address: The flows that the target owns; new ones are added.
+        counts_by_result: Counts decisions, for metrics.
+        log: The log of decisions.
 
     Attributes:
-        condition: What the target will take.
-        is_evacuated: An operator wants no new flows in this data centre. Agents are
-            the last gate: a balancer that hasn't heard of it sends them all the same.
+        condition: What the target accepts.
+        is_evacuated: Whether the data centre is evacuated. Agents enforce it,
+            since a balancer that hasn't received the order still sends new
+            flows.
     """
 
     def __init__(
@@ -74,24 +74,24 @@
         self._flows_by_address = flows_by_address
         self._counts_by_result = counts_by_result
         self._log = log
-        self._expectations = Expectations()
+        self._expected = ExpectedPackets()
         self.condition = Condition.STARTING
         self.is_evacuated = False
 
     @property
-    def offered(self) -> Condition:
-        """What balancers may count on: nothing new while this place is evacuated."""
+    def announced_condition(self) -> Condition:
+        """The condition that balancers are told; shedding while evacuated."""
         if self.is_evacuated and self.condition is Condition.SERVING:
             return Condition.SHEDDING
         return self.condition
 
     def report(self, *, now: float) -> LoadReport:
-        """Return the present load, newer than all reports before."""
-        return self._load.report(condition=self.offered, now=now)
+        """Return the present load under a new, higher number."""
+        return self._load.report(condition=self.announced_condition, now=now)
 
     @property
     def is_waiting(self) -> bool:
-        """Whether `expire` has something to look after soon."""
+        """Whether SYNs wait or slots are reserved, so `expire` must be called."""
         return len(self._queue) > 0 or self._load.is_reserved
 
     @property
@@ -102,64 +102,64 @@
     def _queue(self) -> AdmissionQueue:
         return self._load.queue
 
-    def ask(
+    def decide(
         self, frame: Carry, packet: Packet, *, sender: tuple[str, int], now: float
     ) -> list:
-        """Decide on a SYN of a flow that the target doesn't hold."""
+        """Deliver, queue or reject a SYN of a flow the target doesn't own."""
         if packet.flow in self._queue:
-            return [self._queued(packet, sender=sender, now=now)]
-        reason = self._refusal(frame, now=now)
+            return [self._queued_reply(packet, sender=sender, now=now)]
+        reason = self._rejection_reason(frame, now=now)
         if reason == NO_SLOT and frame.wait_ms and not self._load.is_reserved:
             return self._enqueue(frame, packet, sender=sender, now=now)
         syn = QueuedSyn(packet=packet, tried=frame.tried, balancer=sender)
         if reason is not None:
-            return [self.turn(syn, reason, now=now)]
+            return [self.reject(syn, reason, now=now)]
         return [self._deliver(syn, now=now)]
 
-    def admit(self, *, now: float) -> list:
-        """Deliver SYNs that have waited while a slot is free."""
+    def admit_queued(self, *, now: float) -> list:
+        """Deliver queued SYNs and offer reserved slots while slots are free."""
         if not self.is_waiting:
             return []
-        reason = self._closed
+        reason = self._closed_reason
         if reason is not None:
             self._reservations.clear()
             waiting = self._queue.pop_all()
-            return [self.turn(syn, reason, now=now) for syn in waiting]
+            return [self.reject(syn, reason, now=now) for syn in waiting]
         expired = self._queue.pop_expired(now=now)
-        actions: list = [self.turn(syn, NO_SLOT_IN_TIME, now=now) for syn in expired]
+        actions: list = [self.reject(syn, NO_SLOT_IN_TIME, now=now) for syn in expired]
         run_seconds = self._load.run_seconds
-        while self._may_begin(now=now):
+        while self._can_deliver(now=now):
             syn = self._queue.pop(run_seconds=run_seconds, now=now)
             if syn is None:
                 break
             actions.append(self._deliver(syn, now=now))
-        return actions + self._offer(now=now)
+        return actions + self._offer_slots(now=now)
 
-    def _may_begin(self, *, now: float) -> bool:
-        is_free = self._load.busy < self._load.slots + self._ahead
+    def _can_deliver(self, *, now: float) -> bool:
+        is_free = self._load.busy < self._load.slots + self._syns_ahead
         return is_free and self._load.cold.allows(now=now)
 
     # Slots for flows that wait at balancers
 
     def reserve(self, frame: Reserve, *, balancer: tuple[str, int], now: float) -> None:
-        """Note that a balancer wants a slot, unless no new flow is taken."""
-        if frame.service != self._service or self._closed is not None:
+        """Record a balancer's reservation, unless no new flow is accepted."""
+        if frame.service != self._service or self._closed_reason is not None:
             return
         if not self._reservations.reserve(frame, balancer=balancer, now=now):
             self._counts_by_result["not_reserved"] += 1
 
-    def came(self, frame: Carry, *, sender: tuple[str, int]) -> None:
-        """Note the answer to an offer, whatever becomes of the flow."""
+    def offer_answered(self, frame: Carry, *, sender: tuple[str, int]) -> None:
+        """Record that a SYN answers an offer, whether or not it is accepted."""
         if frame.is_offered:
             self._reservations.taken(sender)
 
-    def declined(self, balancer: tuple[str, int]) -> None:
-        """Note that no flow waits at a balancer that had reserved a slot."""
+    def offer_declined(self, balancer: tuple[str, int]) -> None:
+        """Record that no flow waits any more at a balancer with reservations."""
         self._counts_by_result["declined"] += 1
         self._reservations.declined(balancer)
 
-    def _offer(self, *, now: float) -> list[ToProcess]:
-        """Offer slots that are free, or are about to be, to balancers."""
+    def _offer_slots(self, *, now: float) -> list[ToProcess]:
+        """Offer slots that are free, or about to be, to balancers."""
         if self._reservations.is_empty:
             return []
         for balancer, count in self._reservations.expire(now=now).items():
@@ -188,41 +188,43 @@
             return False
         if len(self._flows_by_address) + offered >= self._connections:
             return False
-        return self._load.cold.allows(now=now, promised=offered)
+        return self._load.cold.allows(now=now, pending=offered)
 
     @property
-    def _ahead(self) -> int:
+    def _syns_ahead(self) -> int:
         """How many SYNs are delivered while all slots are still taken."""
         if self._load.is_reserved:
             return QUEUE_AHEAD
         run_seconds = self._load.run_seconds
-        is_long = self._expectations.mean >= MIN_HANDSHAKE_SHARE * run_seconds
-        return QUEUE_AHEAD if run_seconds and is_long else 0
+        is_handshake_long = (
+            self._expected.mean_seconds >= MIN_HANDSHAKE_SHARE * run_seconds
+        )
+        return QUEUE_AHEAD if run_seconds and is_handshake_long else 0
 
     def expire(self, *, now: float) -> list:
-        """Give slots that were kept for silent callers to flows that wait."""
-        for address in self._expectations.pop_due(now=now):
+        """Give slots kept for silent callers to waiting flows."""
+        for address in self._expected.pop_overdue(now=now):
             flow = self._flows_by_address.get(address)
             if flow is None or flow.phase is not Phase.EXPECTED:
                 continue
-            if now - flow.changed_at >= self._expectations.seconds:
-                self._load.enter(flow, Phase.IDLE, now=now)
-        return self.admit(now=now)
+            if now - flow.phase_began_at >= self._expected.timeout_seconds:
+                self._load.change_phase(flow, Phase.IDLE, now=now)
+        return self.admit_queued(now=now)
 
     def expect(self, address: bytes, flow: PacketFlow, *, now: float) -> None:
         """Keep a slot for the next packet of a flow's caller."""
-        self._load.enter(flow, Phase.EXPECTED, now=now)
-        self._expectations.expect(address, now=now)
+        self._load.change_phase(flow, Phase.EXPECTED, now=now)
+        self._expected.expect(address, now=now)
 
-    def answered(self, seconds: float) -> None:
-        """Learn how long a caller took to answer the target's first packet."""
-        self._expectations.answered(seconds)
+    def record_response_time(self, seconds: float) -> None:
+        """Record how long a caller took to answer the target's first packet."""
+        self._expected.record_response_time(seconds)
 
-    def turn(self, syn: QueuedSyn, reason: str, *, now: float) -> ToProcess:
-        """Send a SYN back to its balancer, for another target."""
+    def reject(self, syn: QueuedSyn, reason: str, *, now: float) -> ToProcess:
+        """Send a SYN back to its balancer, which may try another target."""
         self._counts_by_result["turned"] += 1
         self._log.note(
-            "flow turned away",
+            "flow rejected",
             now=now,
             flow=syn.packet.flow,
             reason=reason,
@@ -239,11 +241,11 @@
         )
         return ToProcess(endpoint=syn.balancer, frame=frame)
 
-    def _refusal(self, frame: Carry, *, now: float) -> str | None:
+    def _rejection_reason(self, frame: Carry, *, now: float) -> str | None:
         if frame.service != self._service:
             return "another service's"
-        if self._closed is not None:
-            return self._closed
+        if self._closed_reason is not None:
+            return self._closed_reason
         if len(self._flows_by_address) >= self._connections:
             return "no connection is free"
         allowed, taken = self._load.slots, self._load.busy
@@ -251,14 +253,14 @@
             allowed += QUEUE_AHEAD
         elif self._load.is_reserved:
             taken += self._reservations.offered
-        elif len(frame.tried) >= FORCED_TRIES:
+        elif len(frame.tried) >= QUEUE_AHEAD_ATTEMPTS:
             allowed += QUEUE_AHEAD
         is_full = taken >= allowed
         return NO_SLOT if is_full or not self._load.cold.allows(now=now) else None
 
     @property
-    def _closed(self) -> str | None:
-        """Why no new flow is taken at all, if so."""
+    def _closed_reason(self) -> str | None:
+        """Why no new flow is accepted at all; ``None`` if some may be."""
         if self.condition is not Condition.SERVING:
             return self.condition.name.lower()
         return EVACUATED if self.is_evacuated else None
@@ -267,24 +269,24 @@
         packet = syn.packet
         ended = self._flows_by_address.pop(packet.flow, None)
         if ended is not None:
-            self._load.dropped(ended, now=now)
+            self._load.flow_removed(ended, now=now)
         flow = PacketFlow(
             caller_ip=packet.caller_ip,
             balancer=syn.balancer,
             seen_at=now,
-            changed_at=now,
+            phase_began_at=now,
             tried=syn.tried,
         )
         self._flows_by_address[packet.flow] = flow
-        self._load.cold.took(now=now)
+        self._load.cold.record(now=now)
         self.expect(packet.flow, flow, now=now)
         return ToTarget(raw=packet.raw)
 
     def _enqueue(
         self, frame: Carry, packet: Packet, *, sender: tuple[str, int], now: float
     ) -> list:
-        """Let a SYN wait here; the one that has no room then goes elsewhere."""
-        displaced = self._queue.offer(
+        """Queue a SYN, and reject the one that the queue then has no room for."""
+        displaced = self._queue.add(
             frame,
             packet,
             balancer=sender,
@@ -294,12 +296,12 @@
         )
         actions: list = []
         if displaced is not None:
-            actions.append(self.turn(displaced, NO_SLOT, now=now))
+            actions.append(self.reject(displaced, NO_SLOT, now=now))
         if packet.flow in self._queue:
-            actions.append(self._queued(packet, sender=sender, now=now))
+            actions.append(self._queued_reply(packet, sender=sender, now=now))
         return actions
 
-    def _queued(
+    def _queued_reply(
         self, packet: Packet, *, sender: tuple[str, int], now: float
     ) -> ToProcess:
         self._counts_by_result["queued"] += 1
--- a/monsoonpier/agent/packets/announcement.py
+++ b/monsoonpier/agent/packets/announcement.py
@@ -1,4 +1,4 @@
-"""What a target that announces itself tells its agent."""
+"""Messages in which a target announces itself to its agent."""
 
 from dataclasses import dataclass
 
@@ -7,12 +7,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetRun:
-    """One run of a target: its identity alone may come back after a restart.
+    """One instance of a target, from its start to its end.
+
+    A target may start again under the same identity.
 
     Attributes:
         identity: The name that the target gives itself.
-        born_ms: When the run began by its own wall clock, in Unix milliseconds;
-            ``None`` if the target doesn't tell.
+        born_ms: Start of the instance by its own wall clock, in Unix
+            milliseconds; ``None`` if the target doesn't report it.
     """
 
     identity: str
@@ -20,7 +22,7 @@
 
     @property
     def instance(self) -> bytes:
-        """Names the run in records of the target."""
+        """The identifier of the instance in records of the target."""
         if self.born_ms is None:
             return self.identity.encode()
         return f"{self.identity}@{self.born_ms}".encode()
@@ -28,14 +30,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetAnnouncement:
-    """A target's heartbeat.
+    """A heartbeat of a target.
 
     Attributes:
-        run: The run that sent it.
-        is_draining: It is about to leave and wants no new flows.
-        slots: Requests that it works on at once.
-        cold_seconds: How much longer it runs slower than later.
-        sequence: Grows with each heartbeat of a run: a late one is told by it.
+        run: The instance that sent it.
+        is_draining: Whether the target is about to leave and wants no new
+            flows.
+        slots: How many requests the target works on at once.
+        cold_seconds: How long the target will still be slower than usual.
+        sequence: Grows with each heartbeat of an instance, to detect stale
+            ones.
     """
 
     run: TargetRun
@@ -47,6 +51,6 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetLeft:
-    """A target's last word: it ends now."""
+    """A leave message: the target is about to end."""
 
     run: TargetRun
--- a/monsoonpier/agent/packets/cold.py
+++ b/monsoonpier/agent/packets/cold.py
@@ -1,45 +1,45 @@
-"""How many new flows a cold target takes, whoever sends them.
+"""Limit of new flows for a target that has just started and is still slow.
 
-The load that it answers: a whole data centre comes back cold at the worst of load, and
-each balancer sends it its own share at once. Only the agent sees all that goes to its
-target, so the limit is kept here: any span of a second counts, not each second of a
-clock, since callers come in bursts.
+Each balancer sends its own share of new flows to a cold target at once, and
+only the agent sees them all, so the limit is enforced here. It applies to a
+sliding window and not to each second of a clock, since callers come in bursts.
 """
 
 from collections import deque
 
-__all__ = ["ColdLimit"]
+__all__ = ["ColdStartLimit"]
 
-SPAN_SECONDS = 1.0
+WINDOW_SECONDS = 1.0
 
 
-class ColdLimit:
-    """New flows of the last second, against what operators allow. Does no I/O.
+class ColdStartLimit:
+    """Counts the new flows of the last second against a limit. Does no I/O.
 
     Attributes:
-        per_second: What a cold target bears, by the configuration; 0 is no limit.
-        until: Until when the target is cold.
+        per_second: New flows a second that a cold target may get; 0 means no
+            limit.
+        until: When the target stops being cold.
     """
 
     def __init__(self) -> None:
         self.per_second = 0.0
         self.until = 0.0
-        self._taken: deque[float] = deque()
+        self._accepted_at: deque[float] = deque()
 
-    def allows(self, *, now: float, promised: int = 0) -> bool:
-        """Tell whether the target may take one flow more now.
+    def allows(self, *, now: float, pending: int = 0) -> bool:
+        """Return whether the target may take one more flow now.
 
         Args:
             now: The present time.
-            promised: Flows that will come, besides those that were taken.
+            pending: Flows that were promised a slot and have not arrived yet.
         """
         if not self.per_second or now >= self.until:
             return True
-        while self._taken and now - self._taken[0] > SPAN_SECONDS:
-            self._taken.popleft()
-        return len(self._taken) + promised < max(1, int(self.per_second))
+        while self._accepted_at and now - self._accepted_at[0] > WINDOW_SECONDS:
+            self._accepted_at.popleft()
+        return len(self._accepted_at) + pending < max(1, int(self.per_second))
 
-    def took(self, *, now: float) -> None:
+    def record(self, *, now: float) -> None:
         """Count a new flow."""
         if self.per_second and now < self.until:
-            self._taken.append(now)
+            self._accepted_at.append(now)
--- a/monsoonpier/agent/packets/expectation.py
+++ b/monsoonpier/agent/packets/expectation.py
@@ -1,65 +1,66 @@
-"""How long a slot is kept for a caller whose flow a target has just answered.
+"""Timeout after which a slot is no longer kept for a silent caller.
 
-The load that it answers: callers that have waited for long have often given up when
-a slot comes free; nobody says so. A slot that was kept a tenth of a second for each
-of them stood empty for a tenth of the time after a loss of power (122 such flows in
-five seconds on six targets of four slots, counted in the logs of one replay). Callers
-answer in a few milliseconds, so how long to wait for them is learnt from that, as TCP
-learns its retransmission timeout.
+After the target has answered a caller's SYN, a slot is kept for the caller's
+first request. A caller that has given up does not say so, and the slot would
+stay empty. The timeout follows the measured response times, as TCP's
+retransmission timeout does (RFC 6298).
 """
 
 from collections import deque
 
-__all__ = ["Expectations"]
+__all__ = ["ExpectedPackets"]
 
-MAX_SECONDS = 0.1  # before anything is learnt: ten ways to a caller and back
-MIN_SECONDS = 0.015  # a target's answer and a caller's may each be a few ms late
-MEAN_SHARE = 1 / 8  # smoothing of the mean and of the deviation, as RFC 6298
-DEVIATION_SHARE = 1 / 4
-DEVIATIONS = 4
+MAX_TIMEOUT_SECONDS = 0.1  # also used before the first response
+MIN_TIMEOUT_SECONDS = 0.015
+MEAN_GAIN = 1 / 8  # gains and factor as in RFC 6298
+DEVIATION_GAIN = 1 / 4
+DEVIATION_FACTOR = 4
 
 
-class Expectations:
-    """Flows whose callers' next packet is expected. Does no I/O."""
+class ExpectedPackets:
+    """Flows whose callers are expected to send a packet. Does no I/O."""
 
     def __init__(self) -> None:
-        self._due: deque[tuple[float, bytes]] = deque()
-        self._mean: float | None = None
-        self._deviation = 0.0
+        self._expected: deque[tuple[float, bytes]] = deque()
+        self._mean_seconds: float | None = None
+        self._deviation_seconds = 0.0
 
     @property
-    def seconds(self) -> float:
-        """How long a caller's next packet is waited for."""
-        if self._mean is None:
-            return MAX_SECONDS
-        seconds = self._mean + DEVIATIONS * self._deviation
-        return min(MAX_SECONDS, max(MIN_SECONDS, seconds))
+    def timeout_seconds(self) -> float:
+        """How long to wait for a caller's next packet."""
+        if self._mean_seconds is None:
+            return MAX_TIMEOUT_SECONDS
+        seconds = self._mean_seconds + DEVIATION_FACTOR * self._deviation_seconds
+        return min(MAX_TIMEOUT_SECONDS, max(MIN_TIMEOUT_SECONDS, seconds))
 
     @property
-    def mean(self) -> float:
-        """How long callers take to answer; 0 before the first one did."""
-        return self._mean or 0.0
+    def mean_seconds(self) -> float:
+        """The mean response time of callers; 0 before the first response."""
+        return self._mean_seconds or 0.0
 
-    def answered(self, seconds: float) -> None:
-        """Learn from a caller's answer to a target's first packet."""
-        if self._mean is None:
-            self._mean = seconds
-            self._deviation = seconds / 2
+    def record_response_time(self, seconds: float) -> None:
+        """Update the timeout with the time a caller took to answer the target."""
+        if self._mean_seconds is None:
+            self._mean_seconds = seconds
+            self._deviation_seconds = seconds / 2
             return
-        error = seconds - self._mean
-        self._deviation += DEVIATION_SHARE * (abs(error) - self._deviation)
-        self._mean += MEAN_SHARE * error
+        error = seconds - self._mean_seconds
+        self._deviation_seconds += DEVIATION_GAIN * (
+            abs(error) - self._deviation_seconds
+        )
+        self._mean_seconds += MEAN_GAIN * error
 
     def expect(self, flow: bytes, *, now: float) -> None:
-        """Wait for a flow's next packet."""
-        self._due.append((now, flow))
+        """Start to wait for the next packet of a flow."""
+        self._expected.append((now, flow))
 
-    def pop_due(self, *, now: float) -> list[bytes]:
-        """Return the flows whose time is over, which are then no longer waited for.
+    def pop_overdue(self, *, now: float) -> list[bytes]:
+        """Remove and return the flows whose timeout has passed.
 
-        A flow may be due though its packet has come: the caller of this looks.
+        Arrived packets are not recorded here: the caller of this method must
+        check whether a returned flow is still expected.
         """
-        due = []
-        while self._due and now - self._due[0][0] >= self.seconds:
-            due.append(self._due.popleft()[1])
-        return due
+        overdue = []
+        while self._expected and now - self._expected[0][0] >= self.timeout_seconds:
+            overdue.append(self._expected.popleft()[1])
+        return overdue
--- a/monsoonpier/agent/packets/flows.py
+++ b/monsoonpier/agent/packets/flows.py
@@ -1,4 +1,4 @@
-"""The flows without a token that one target holds, as its agent sees them."""
+"""An agent's record of one flow without a token."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -9,54 +9,64 @@
 
 
 class Phase(IntEnum):
-    """Where a flow stands with the target's slots."""
+    """Whether a flow uses one of the target's slots."""
 
     IDLE = 0
-    EXPECTED = 1  # opened a moment ago; its first request is on its way
+    EXPECTED = 1  # a slot is kept for the caller's next packet
     RUNNING = 2  # the caller has sent data and the target has not answered yet
 
 
 @dataclass(slots=True, kw_only=True)
 class PacketFlow:
-    """One flow.
+    """The state of one flow.
 
     Attributes:
-        caller_ip: Where resets go.
-        balancer: The balancer that sent its last packet that needs an answer.
-        seen_at: When its last packet passed.
-        changed_at: When its phase began.
-        target_sequence: The target's first one; ``None`` until it has answered.
-        is_open: The caller has acknowledged this target's answer to its SYN.
-        guessed: The caller's packet, if this agent did not see the flow open and
-            the target has yet to tell.
-        acknowledged: The caller's last one, which a reset must be near to.
-        asks: The balancer keeps the guessed packet itself.
-        run_began_at: When the target began its request; ``None`` while it waits there.
-        is_overdue: Its request is counted as failed; it may still be answered.
-        kept_from: What a flow whose request is expected had of empty slots when it
-            began to be (`SlotUse.kept_each`).
-        caller_end: The sequence after the caller's last data.
+        caller_ip: The caller's address, where resets are sent.
+        balancer: The balancer that sent the last packet that needs a reply.
+        seen_at: When the last packet of the flow passed.
+        phase_began_at: When the current phase began.
+        acknowledged: The caller's last acknowledgement number. A reset must be
+            near it.
+        caller_end: The sequence number after the caller's last data.
+        tried: Targets that the flow's SYN was sent to.
+        target_sequence: The target's initial sequence number; ``None`` before
+            its answer.
+        is_open: Whether the caller has acknowledged this target's answer to
+            its SYN.
+        probe_packet: A packet that was delivered to learn whether the target
+            owns the flow; ``None`` once the target has answered, or if the
+            agent saw the flow open.
+        phase: Whether the flow uses a slot.
+        asks: Whether the balancer keeps a copy of the probe packet itself.
+        run_began_at: When the target began to work on the flow's request;
+            ``None`` while the request waits at the target.
+        is_overdue: Whether the request was counted as failed since its answer
+            is late.
+        kept_seconds_at_start: `SlotUse.kept_seconds_per_flow` when the flow's
+            first request became expected.
+        has_caller_fin: Whether the caller has closed its direction.
+        has_target_fin: Whether the target has closed its direction.
     """
 
     caller_ip: str
     balancer: tuple[str, int]
     seen_at: float
-    changed_at: float
+    phase_began_at: float
     acknowledged: int = 0
     caller_end: int | None = None
     tried: tuple[str, ...] = ()
     target_sequence: int | None = None
     is_open: bool = False
-    guessed: Packet | None = None
+    probe_packet: Packet | None = None
     phase: Phase = Phase.IDLE
     asks: bool = False
     run_began_at: float | None = None
     is_overdue: bool = False
-    kept_from: float = 0.0
+    kept_seconds_at_start: float = 0.0
     has_caller_fin: bool = False
     has_target_fin: bool = False
 
     @property
     def is_ended(self) -> bool:
-        """Whether both ends have closed."""
+        """Whether both sides have closed."""
         return self.has_caller_fin and self.has_target_fin
--- a/monsoonpier/agent/packets/liveness.py
+++ b/monsoonpier/agent/packets/liveness.py
@@ -1,4 +1,4 @@
-"""Whether a target still runs, told by one idle connection to it."""
+"""Detects that a target has ended, by one idle connection to it."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,19 +10,22 @@
 __all__ = ["TargetLiveness"]
 
 CONNECT_SECONDS = 1.0
-RETRY_SECONDS = 0.1  # a target that starts beside its agent is up in a second
-REFUSALS_NEEDED = 2  # a listener may be set up anew in between
+RETRY_SECONDS = 0.1
+REFUSALS_NEEDED = 2  # the target may just be opening its listening socket again
 _log = structlog.get_logger("monsoonpier.agent.packets.liveness")
 
 
 class TargetLiveness:
-    """Keeps a connection open; ``on_gone`` is called when it is refused anew.
+    """Keeps one connection to the target and reports refused reconnects.
 
-    ``on_absent`` is called at each further refusal, and where it never stood.
+    ``on_up`` is called at the first connection, and at the first one after
+    ``on_gone``. ``on_gone`` is called when connections are refused after the
+    target was up, ``on_absent`` at each further refusal and if the target was
+    never up.
 
-    A target that ends closes its connections at once, long before its
-    heartbeats are missed. Closing alone proves nothing, since targets close
-    idle connections too; only a refused connection means that nobody listens.
+    The connection of a target that ends closes at once, long before heartbeats
+    are missed. A closed connection alone is no proof, since targets close idle
+    ones too; only a refused connection shows that nothing listens.
     """
 
     def __init__(
@@ -55,7 +58,7 @@
             self._refused()
             return
         except (TimeoutError, OSError) as error:
-            _log.info("target not reached", reason=repr(error))
+            _log.info("connecting to the target failed", reason=repr(error))
             return
         self._refusals = 0
         if not self._was_up:
@@ -64,7 +67,7 @@
         try:
             await reader.read(1)
         except OSError as error:
-            _log.info("connection to target cut", reason=repr(error))
+            _log.info("connection to the target broke", reason=repr(error))
         finally:
             writer.close()
 
--- a/monsoonpier/agent/packets/load.py
+++ b/monsoonpier/agent/packets/load.py
@@ -1,10 +1,10 @@
-"""An agent's count of what its target works on, and what it tells of it."""
+"""An agent's account of its target's load, and the load reports made from it."""
 
 import math
 from typing import NamedTuple
 
-from monsoonpier.agent.packets.cold import ColdLimit
-from monsoonpier.agent.packets.evidence import FailureShare
+from monsoonpier.agent.packets.cold import ColdStartLimit
+from monsoonpier.agent.packets.evidence import FailureRate
 from monsoonpier.agent.packets.flows import PacketFlow, Phase
 from monsoonpier.agent.packets.queue import AdmissionQueue
 from monsoonpier.agent.packets.reservations import Reservations
@@ -15,14 +15,14 @@
 
 __all__ = ["LoadLevel", "TargetLoad"]
 
-BUSY_SHARE_SECONDS = 1.0  # over which the use of slots is smoothed: many runs
-BUSY_STEP = 2  # requests; a step of one doubles the reports and places no better
-OPEN_STEP = 4  # flows, a tenth of what a target has when it is well used
-FAILED_STEP = 10  # percent: 0.8 runs in the balancers' cost
+BUSY_SHARE_SECONDS = 1.0  # time constant of the smoothed use of slots
+BUSY_STEP = 2  # requests; smaller changes are not reported
+OPEN_STEP = 4  # flows; smaller changes are not reported
+FAILED_STEP = 10  # percent; smaller changes are not reported
 
 
 class LoadLevel(NamedTuple):
-    """What balancers need to know of a load."""
+    """The part of a load that balancers base their placement on."""
 
     is_full: bool
     busy: int
@@ -31,7 +31,7 @@
     queued_in_time: int
 
     def is_near(self, other: "LoadLevel") -> bool:
-        """Tell whether a balancer would place alike by either."""
+        """Return whether a balancer would place flows alike by either level."""
         return (
             self.is_full == other.is_full
             and self.queued == other.queued
@@ -42,20 +42,21 @@
 
 
 class TargetLoad:
-    """Requests under way, open flows, and the time of a run.
+    """Requests in flight, open flows and the service time of requests.
 
-    A request is under way from its first packet until its answer's first one; a
-    flow that was opened a moment ago counts like one, since its first request is
-    on its way.
+    A request is in flight from its first packet to the first packet of its
+    answer. A flow whose next packet is expected counts like a request in
+    flight.
 
     Attributes:
         slots: How many requests the target works on at once.
-        busy: Requests under way.
+        busy: Requests in flight, including expected ones.
         open: Open flows.
-        queue: New flows that wait for a slot.
-        reservations: Slots that balancers want for flows that wait there.
-        cold: How many new flows the target takes while it is cold.
-        use: What the slots did with their time.
+        queue: SYNs that wait here for a slot.
+        reservations: Slots that balancers have reserved for flows that wait
+            there.
+        cold: The limit of new flows while the target is cold.
+        use: How the slots spend their time.
     """
 
     def __init__(self, *, slots: int) -> None:
@@ -64,22 +65,23 @@
         self.open = 0
         self.queue = AdmissionQueue()
         self.reservations = Reservations()
-        self.cold = ColdLimit()
+        self.cold = ColdStartLimit()
         self.use = SlotUse()
         self._running = 0
         self._observed: tuple | None = None
-        self._number = 0
+        self._report_number = 0
         self._runs = RunTimes()
-        self._failures = FailureShare()
+        self._failures = FailureRate()
         self._busy_share = 0.0
         self._share_at = 0.0
         self.answer_seconds = Histogram(
-            name="answer_seconds", help="From a request's first packet to its answer."
+            name="answer_seconds",
+            help="Seconds from a request's first packet to its answer.",
         )
 
     @property
     def level(self) -> LoadLevel:
-        """What balancers need to know."""
+        """The part of the load that balancers base their placement on."""
         return LoadLevel(
             is_full=self.busy >= self.slots or self.is_reserved,
             busy=self.busy,
@@ -90,97 +92,99 @@
 
     @property
     def is_reserved(self) -> bool:
-        """Whether the next slot is for a flow that waits at a balancer."""
+        """Whether the next slot goes to a flow that waits at a balancer."""
         return not self.reservations.is_empty
 
     def busy_share(self, *, now: float) -> float:
-        """Return the share of the slots that were taken lately, 1.0 at the most."""
+        """Return the smoothed share of slots in use, 1.0 at most."""
         passed = max(0.0, now - self._share_at)
         fades = math.exp(-passed / BUSY_SHARE_SECONDS)
         taken = min(1.0, self.busy / self.slots)
         return taken + (self._busy_share - taken) * fades
 
     def failure_level(self, *, now: float) -> int:
-        """Return roughly which share of requests fails."""
+        """Return the percentage of failed requests in steps of `FAILED_STEP`."""
         return self.failed_percent(now=now) // FAILED_STEP
 
-    def enter(self, flow: PacketFlow, phase: Phase, *, now: float) -> None:
-        """Move a flow to a phase."""
-        # What is expected and let go in the same moment has kept no slot.
-        is_let_go = flow.phase is Phase.EXPECTED and phase is Phase.IDLE
-        if is_let_go and now > flow.changed_at:
-            kept = self.use.kept_each(now=now) - flow.kept_from
-            self.use.was_silent(seconds=kept)
-        self._move(flow, phase, now=now)
+    def change_phase(self, flow: PacketFlow, phase: Phase, *, now: float) -> None:
+        """Move a flow to a phase, and count it if its caller was silent."""
+        # A flow that was expected for no time has kept no slot.
+        is_abandoned = flow.phase is Phase.EXPECTED and phase is Phase.IDLE
+        if is_abandoned and now > flow.phase_began_at:
+            kept = self.use.kept_seconds_per_flow(now=now) - flow.kept_seconds_at_start
+            self.use.count_silent(seconds=kept)
+        self._set_phase(flow, phase, now=now)
 
-    def _move(self, flow: PacketFlow, phase: Phase, *, now: float) -> None:
+    def _set_phase(self, flow: PacketFlow, phase: Phase, *, now: float) -> None:
         if phase is Phase.EXPECTED and flow.phase is not Phase.EXPECTED:
-            flow.kept_from = self.use.kept_each(now=now)
+            flow.kept_seconds_at_start = self.use.kept_seconds_per_flow(now=now)
         if flow.phase is Phase.RUNNING:
-            self._runs.broken_off(flow, now=now)  # unless its answer has come
+            self._runs.request_aborted(flow, now=now)  # no effect after an answer
         self._busy_share = self.busy_share(now=now)
         self._share_at = now
         self.busy += int(phase is not Phase.IDLE) - int(flow.phase is not Phase.IDLE)
         self._running += int(phase is Phase.RUNNING)
         self._running -= int(flow.phase is Phase.RUNNING)
         flow.phase = phase
-        flow.changed_at = now
+        flow.phase_began_at = now
 
-    def asked(self, flow: PacketFlow, *, now: float) -> None:
-        """Count a request of the flow, unless one is under way."""
+    def request_started(self, flow: PacketFlow, *, now: float) -> None:
+        """Count a request of the flow, unless one is in flight."""
         if flow.phase is Phase.RUNNING:
             return
-        self.enter(flow, Phase.RUNNING, now=now)
-        self.use.run_began(now=now)
+        self.change_phase(flow, Phase.RUNNING, now=now)
+        self.use.run_started(now=now)
         flow.is_overdue = False
         is_slot_free = self._running <= self.slots
-        self._runs.asked(flow, is_slot_free=is_slot_free, now=now)
+        self._runs.request_started(flow, is_slot_free=is_slot_free, now=now)
 
-    def answered(self, flow: PacketFlow, *, is_failure: bool, now: float) -> None:
-        """Count the flow's request as done, and learn how long runs take."""
+    def request_answered(
+        self, flow: PacketFlow, *, is_failure: bool, now: float
+    ) -> None:
+        """Count the flow's request as done, and record its duration."""
         if flow.phase is Phase.RUNNING:
-            seconds = now - flow.changed_at
+            seconds = now - flow.phase_began_at
             self.answer_seconds.observe(seconds)
             self._failures.count(is_failure=is_failure, now=now)
-            self._runs.answered(flow, is_failure=is_failure, now=now)
+            self._runs.request_answered(flow, is_failure=is_failure, now=now)
             self._note_run_ended(now=now)
-        self._move(flow, Phase.IDLE, now=now)
+        self._set_phase(flow, Phase.IDLE, now=now)
 
     def _note_run_ended(self, *, now: float) -> None:
         is_expecting = self.busy > self._running
         self.use.run_ended(
-            is_free=self._running <= self.slots,
-            is_wanted=is_expecting or self._waiting > 0,
+            is_slot_free=self._running <= self.slots,
+            is_wanted=is_expecting or self._waiting_flows > 0,
             now=now,
         )
 
-    def broken_off(self, flow: PacketFlow, *, now: float) -> None:
-        """Count a request that got no answer as failed."""
+    def request_aborted(self, flow: PacketFlow, *, now: float) -> None:
+        """Count a request that gets no answer as failed."""
         if flow.phase is Phase.RUNNING:
             self._failures.count(is_failure=True, now=now)
-            self.enter(flow, Phase.IDLE, now=now)
+            self.change_phase(flow, Phase.IDLE, now=now)
 
-    def overdue(self, flow: PacketFlow, *, now: float) -> None:
-        """Count a request as failed whose answer may never come."""
+    def mark_overdue(self, flow: PacketFlow, *, now: float) -> None:
+        """Count a request whose answer is late as failed, once."""
         if not flow.is_overdue:
             flow.is_overdue = True
             self._failures.count(is_failure=True, now=now)
 
-    def opened(self, flow: PacketFlow) -> None:
-        """Count an open flow."""
+    def count_open(self, flow: PacketFlow) -> None:
+        """Count a flow as open."""
         flow.is_open = True
         self.open += 1
 
-    def dropped(self, flow: PacketFlow, *, now: float) -> None:
-        """Count a flow no more."""
+    def flow_removed(self, flow: PacketFlow, *, now: float) -> None:
+        """Stop counting a flow."""
         if flow.phase is Phase.EXPECTED:
-            self.use.was_dropped()
-        self._move(flow, Phase.IDLE, now=now)
+            self.use.count_dropped()
+        self._set_phase(flow, Phase.IDLE, now=now)
         self.open -= int(flow.is_open)
 
-    def ended(self, *, is_planned: bool, now: float) -> None:
-        """Count nothing more of a run of the target that has ended."""
-        self._failures.run_ended(is_planned=is_planned, now=now)
+    def target_ended(self, *, is_planned: bool, now: float) -> None:
+        """Reset all counts, since the target's instance has ended."""
+        self._failures.target_ended(is_planned=is_planned, now=now)
         self.busy = 0
         self.open = 0
         self._running = 0
@@ -188,32 +192,39 @@
         self.use.target_ended()
 
     @property
-    def _waiting(self) -> int:
-        """How many flows are known here to wait for a slot."""
+    def _waiting_flows(self) -> int:
+        """How many flows wait for a slot, here or with a reservation."""
         return len(self.queue) + len(self.reservations)
 
-    def observe_use(self, *, is_serving: bool, now: float) -> None:
-        """Count the time of the slots up to now, if anything has changed.
+    def observe_slot_use(self, *, is_serving: bool, now: float) -> None:
+        """Account the time of the slots up to now, if their state has changed.
 
         Args:
-            is_serving: The target takes new flows: an empty slot is a loss.
+            is_serving: Whether the target takes new flows; otherwise empty
+                slots aren't counted as idle.
             now: The present time.
         """
-        present = (self.slots, self._running, self.busy, self._waiting, is_serving)
+        present = (
+            self.slots,
+            self._running,
+            self.busy,
+            self._waiting_flows,
+            is_serving,
+        )
         if present == self._observed:
-            return  # Most packets change nothing of it.
+            return  # Most packets change nothing here.
         self._observed = present
         self.use.observe(
             slots=self.slots if is_serving else min(self.slots, self._running),
             running=self._running,
             expected=self.busy - self._running,
-            queued=self._waiting,
+            queued=self._waiting_flows,
             now=now,
         )
 
     @property
     def use_fields(self) -> dict[str, float]:
-        """The use of the slots, as the agent tells it when it is asked."""
+        """The use of the slots, for status replies."""
         present = {
             "slots": self.slots,
             "running": self._running,
@@ -225,41 +236,40 @@
 
     @property
     def readings(self) -> tuple[Reading, ...]:
-        """What the metrics address shows of the slots and who waits for them."""
+        """The metrics of slots and of the flows that wait for them."""
         queued_by_class = {("in_time",): self.queue.timely, ("late",): self.queue.late}
         return (
             gauge("slots", "Requests that the target works on at once.", self.slots),
-            gauge("running", "Requests that it works on now.", self._running),
+            gauge("running", "Requests that the target works on now.", self._running),
             Series(
                 name="queued_flows",
                 help="New flows that wait at this agent.",
                 labels=("class",),
                 values_by_labels=queued_by_class,
             ),
-            gauge(
-                "reserved", "Flows that reserve a slot here.", len(self.reservations)
-            ),
+            gauge("reserved", "Slots that balancers reserve.", len(self.reservations)),
             *self.use.readings,
         )
 
-    def is_cold_until(self, until: float) -> None:
-        """Note until when the target runs slower than later."""
+    def set_cold_until(self, until: float) -> None:
+        """Set the time until which the target is slower than usual."""
         self.cold.until = until
 
     @property
     def run_seconds(self) -> float:
-        """How long a run takes here; 0 before the first one was timed."""
+        """The smoothed service time of a run; 0 before the first was timed."""
         return self._runs.run_ms / 1000
 
     def report(self, *, condition: Condition, now: float) -> LoadReport:
-        """Return the present load, newer than all reports before."""
-        self._number += 1
-        # Balancers send nothing where more are under way than may wait there. What
-        # they send unasked would go before flows that have waited for longer.
+        """Return the present load under a new, higher number."""
+        self._report_number += 1
+        # Balancers send no SYNs to a target that reports itself full. While
+        # slots are reserved, SYNs without an offer would overtake flows that
+        # have waited longer.
         is_closed = self.is_reserved or not self.cold.allows(now=now)
         least = self.slots + QUEUE_AHEAD if is_closed else 0
         return LoadReport(
-            number=self._number,
+            number=self._report_number,
             in_flight=max(self.busy, least),
             queued=self.queue.timely,
             queued_late=self.queue.late,
@@ -271,5 +281,5 @@
         )
 
     def failed_percent(self, *, now: float) -> int:
-        """Return the share of the latest requests that failed."""
+        """Return the percentage of recent requests that failed."""
         return round(100 * self._failures.value(now=now))
--- a/monsoonpier/agent/packets/load_reports.py
+++ b/monsoonpier/agent/packets/load_reports.py
@@ -1,10 +1,10 @@
-"""Which balancers are told of a target's load between their new flows, and when.
+"""Decides which balancers get a load report between their new flows, and when.
 
-The load that it answers: each request takes a slot and gives it back, and each
-balancer that places flows would be told of both. At 46 targets and 23 balancers that
-were 28 reports a request, seven in ten of all frames. So a balancer is told only what
-it doesn't know yet, those that placed last first, and within a budget that grows with
-the use of the slots: while most targets are idle, word of one is worth little.
+Every request takes a slot and frees it, so reporting each change to each
+balancer would be most of the control traffic. A balancer is sent only what it
+doesn't know yet, the most recent senders of SYNs first, and within a budget
+that grows with the use of the slots: the load of a target matters little while
+most targets are idle.
 """
 
 from dataclasses import dataclass
@@ -17,25 +17,24 @@
 
 __all__ = ["LoadReports"]
 
-INTERESTED_SECONDS = 3.0  # balancers that sent SYNs so lately are told of load
-# All that may send one are told that requests fail, or that they no longer do.
-CONCERNED_SECONDS = 60.0
-# Of a target whose slots are all in use: 10 KB/s, what control may take of a VM, for
-# reports of 70 bytes. 0.99 of answers in time take 100 at 0.7 of the slots.
-MAX_REPORTS_PER_SECOND = 140
-MIN_REPORTS_PER_SECOND = 28  # a fifth of it, for what changes at an idle target
-MAX_REPORTS_AT_ONCE = 60  # the balancers of a large site hear of a failure at once
+# Time since a balancer's last SYN for which it is told of changes of load, and
+# of changes of the failure rate.
+LOAD_REPORT_SECONDS = 3.0
+FAILURE_REPORT_SECONDS = 60.0
+MAX_REPORTS_PER_SECOND = 140  # while all slots are in use
+MIN_REPORTS_PER_SECOND = 28  # while the target is idle
+MAX_REPORTS_AT_ONCE = 60
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Known:
-    """What a balancer has been told."""
+class _Reported:
+    """The state that a balancer was last told."""
 
     level: LoadLevel
     failure_level: int
     condition: Condition
 
-    def is_near(self, other: "_Known") -> bool:
+    def is_near(self, other: "_Reported") -> bool:
         return (
             self.level.is_near(other.level)
             and self.failure_level == other.failure_level
@@ -45,44 +44,44 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Receiver:
-    placed_at: float
-    known: _Known | None = None
+    last_placed_at: float
+    known: _Reported | None = None
 
 
 class LoadReports:
-    """Reports changes of a target's load. Does no I/O."""
+    """Reports changes of a target's load to balancers. Does no I/O."""
 
     def __init__(self, *, load: TargetLoad, log: DecisionLog) -> None:
         self._load = load
         self._log = log
         self._receivers_by_endpoint: dict[tuple[str, int], _Receiver] = {}
         self._failure_level = 0
-        self._last: _Known | None = None
+        self._last_state: _Reported | None = None
         self._budget = float(MAX_REPORTS_AT_ONCE)
         self._budget_at = 0.0
 
-    def placed_by(self, balancer: tuple[str, int], *, now: float) -> None:
-        """Note a balancer that has sent a new flow."""
+    def record_placement(self, balancer: tuple[str, int], *, now: float) -> None:
+        """Record that a balancer has sent a new flow."""
         receiver = self._receivers_by_endpoint.get(balancer)
         if receiver is None:
-            self._receivers_by_endpoint[balancer] = _Receiver(placed_at=now)
+            self._receivers_by_endpoint[balancer] = _Receiver(last_placed_at=now)
         else:
-            receiver.placed_at = now
+            receiver.last_placed_at = now
 
-    def told(
+    def mark_reported(
         self, balancer: tuple[str, int], *, condition: Condition, now: float
     ) -> None:
-        """Note that another frame has just brought a balancer the present load."""
+        """Record that another frame has told a balancer the present load."""
         receiver = self._receivers_by_endpoint.get(balancer)
         if receiver is not None:
             receiver.known = self._present(condition, now=now)
 
     def due(self, *, condition: Condition, now: float) -> list[ToProcess]:
-        """Return reports for the balancers that place flows here, if it changed."""
+        """Return the reports to send now."""
         present = self._present(condition, now=now)
-        self._last = present
+        self._last_state = present
         if present.failure_level != self._failure_level:
-            self._note_failures(present.failure_level, now=now)
+            self._log_failure_change(present.failure_level, now=now)
         due = [
             endpoint
             for endpoint, receiver in self._receivers_by_endpoint.items()
@@ -94,55 +93,58 @@
         frame = Load(load=self._load.report(condition=condition, now=now))
         return [ToProcess(endpoint=endpoint, frame=frame) for endpoint in due]
 
-    def forget(self, *, now: float) -> None:
-        """Drop balancers that have placed nothing here for long."""
+    def forget_idle(self, *, now: float) -> None:
+        """Forget balancers that have sent no new flow for long."""
         self._receivers_by_endpoint = {
             endpoint: receiver
             for endpoint, receiver in self._receivers_by_endpoint.items()
-            if now - receiver.placed_at < CONCERNED_SECONDS
+            if now - receiver.last_placed_at < FAILURE_REPORT_SECONDS
         }
 
-    def _present(self, condition: Condition, *, now: float) -> _Known:
-        present = _Known(
+    def _present(self, condition: Condition, *, now: float) -> _Reported:
+        present = _Reported(
             level=self._load.level,
             failure_level=self._load.failure_level(now=now),
             condition=condition,
         )
-        # The same object for the same state: most receivers are told apart by that.
-        return self._last if present == self._last else present
+        # Returns the same object for the same state, so that `_is_due` can
+        # compare most receivers by identity.
+        return self._last_state if present == self._last_state else present
 
-    def _is_due(self, receiver: _Receiver, present: _Known, *, now: float) -> bool:
-        """Tell whether a balancer knows less than it should."""
+    def _is_due(self, receiver: _Receiver, present: _Reported, *, now: float) -> bool:
+        """Return whether a balancer must be told of the present state."""
         known = receiver.known
         if known is present or (known is not None and known.is_near(present)):
             return False
-        age = now - receiver.placed_at
+        age = now - receiver.last_placed_at
         has_failures_changed = known is None or (
             known.failure_level != present.failure_level
         )
-        return age < (CONCERNED_SECONDS if has_failures_changed else INTERESTED_SECONDS)
+        return age < (
+            FAILURE_REPORT_SECONDS if has_failures_changed else LOAD_REPORT_SECONDS
+        )
 
     def _within_budget(
-        self, due: list[tuple[str, int]], present: _Known, *, now: float
+        self, due: list[tuple[str, int]], present: _Reported, *, now: float
     ) -> list[tuple[str, int]]:
-        """Return those that are told now; the others are when they still differ."""
+        """Return the balancers to tell now; the others are due again later."""
         rate = MAX_REPORTS_PER_SECOND * self._load.busy_share(now=now)
         earned = (now - self._budget_at) * max(MIN_REPORTS_PER_SECOND, rate)
         self._budget = min(MAX_REPORTS_AT_ONCE, self._budget + earned)
         self._budget_at = now
         receivers = self._receivers_by_endpoint
-        due.sort(key=lambda endpoint: receivers[endpoint].placed_at, reverse=True)
+        due.sort(key=lambda endpoint: receivers[endpoint].last_placed_at, reverse=True)
         told = due[: int(self._budget)]
         self._budget -= len(told)
         for endpoint in told:
             receivers[endpoint].known = present
         return told
 
-    def _note_failures(self, level: int, *, now: float) -> None:
+    def _log_failure_change(self, level: int, *, now: float) -> None:
         is_worse = level > self._failure_level
         self._failure_level = level
         self._log.note(
-            "target fails requests" if is_worse else "target fails fewer requests",
+            "target's failure rate rose" if is_worse else "target's failure rate fell",
             now=now,
             percent=self._load.failed_percent(now=now),
             busy=self._load.busy,
--- a/monsoonpier/agent/packets/process.py
+++ b/monsoonpier/agent/packets/process.py
@@ -1,4 +1,4 @@
-"""An agent of flows without a token: sockets and tasks around the decisions."""
+"""Process of an agent of flows without a token: sockets, tasks and timers."""
 
 import asyncio
 import random
@@ -16,7 +16,11 @@
 from monsoonpier.agent.packets.announcement import TargetAnnouncement, TargetLeft
 from monsoonpier.agent.packets.holder import PacketHolder
 from monsoonpier.agent.packets.liveness import TargetLiveness
-from monsoonpier.agent.packets.target_run import LateHeartbeat, NewRun, RunHistory
+from monsoonpier.agent.packets.target_run import (
+    InstanceHistory,
+    NewInstance,
+    StaleHeartbeat,
+)
 from monsoonpier.link.schedule import Urgency
 from monsoonpier.link.sender import LinkSender
 from monsoonpier.model.address import Address
@@ -46,28 +50,29 @@
 __all__ = ["PacketAgentProcess"]
 
 TICK_SECONDS = 0.1
-LOOK_SECONDS = 0.01  # while new flows wait: a slot kept in vain costs so much at most
-REPORT_SECONDS = 0.003  # changes of load in one turn go out as one report
-FAREWELLS = 2  # more, since datagrams get lost
-FAREWELL_SECONDS = 0.05
-LATE_SECONDS = 1.0  # a heartbeat isn't longer on its way on one machine
-MAX_LEAVE_SECONDS = 2.5  # for requests under way; long flows never end by themselves
-# Until an agent that stops is sure that it has no target, and five looks more; stops
-# are given six seconds.
+LOOK_SECONDS = 0.01  # between checks for expired slots while new flows wait
+REPORT_SECONDS = 0.003  # within which changes of load go into one report
+FAREWELLS = 2  # repetitions of the last announcement, since datagrams get lost
+FAREWELL_SECONDS = 0.05  # between them
+MAX_HEARTBEAT_DELAY_SECONDS = 1.0  # from the target, on the same machine
+MAX_LEAVE_SECONDS = 2.5  # for requests in flight; long flows don't end by themselves
+# A margin above the time after which a target counts as absent. It must stay
+# within the six seconds that a process has to stop.
 MAX_ABSENT_SECONDS = ABSENT_SECONDS + 0.5
-ABSENT_CHECK_SECONDS = 0.02  # a fifth of the time between two looks at the target
+ABSENT_CHECK_SECONDS = 0.02
 _log = structlog.get_logger("monsoonpier.agent.packets.process")
 
 
 class PacketAgentProcess:
-    """Runs one agent until it has left.
+    """Runs one agent until it has shut down.
 
     Args:
-        callers_port: Where callers take their packets.
-        from_target: Where the target sends its packets.
-        target: Where the target takes packets.
-        codec: The packets' header.
-        store: Where balancers are found.
+        settings: The settings of this process.
+        callers_port: The UDP port at which callers receive packets.
+        from_target: The address to which the target sends its packets.
+        target: The address at which the target receives packets.
+        codec: Encodes and decodes packets.
+        store: The store in which balancers are registered.
     """
 
     def __init__(
@@ -86,12 +91,12 @@
         self._callers_port = callers_port
         self._from_target = from_target
         self._target = target
-        self._packets = codec
+        self._packet_codec = codec
         self._store = store
         self._draw = random.Random()
         self._life = ProcessLife()
         self._started = time.monotonic()
-        self._frames = FrameCodec(keys=settings.keys)
+        self._frame_codec = FrameCodec(keys=settings.keys)
         self._sender = LinkSender(bits_per_second=settings.link_bits_per_second)
         self._holder = PacketHolder(
             name=settings.name,
@@ -117,7 +122,7 @@
             on_absent=self._target_absent,
         )
         self._control = ControlServer(
-            address=settings.control, keys=settings.keys, handler=self._answer
+            address=settings.control, keys=settings.keys, handler=self._answer_control
         )
         self._web = WebServer(
             address=settings.metrics,
@@ -126,12 +131,12 @@
         )
         self._internal: UdpSocket | None = None
         self._outbound: UdpSocket | None = None
-        self._reporting: asyncio.TimerHandle | None = None
-        self._looking: asyncio.TimerHandle | None = None
-        self._runs = RunHistory()
+        self._report_timer: asyncio.TimerHandle | None = None
+        self._expiry_timer: asyncio.TimerHandle | None = None
+        self._instances = InstanceHistory()
         self._has_left = False
         self._gone_at = 0.0
-        self._limited_by = 0  # the version whose limits are kept
+        self._cold_limit_version = 0  # the configuration that the limit is from
         self._dropped_by_reason: dict[str, int] = {}
 
     @property
@@ -140,10 +145,10 @@
         return self._life.is_ready
 
     async def run(self) -> None:
-        """Serve until asked to leave and the work under way is done.
+        """Serve until told to shut down and requests in flight are done.
 
         Raises:
-            OSError: If a port is taken.
+            OSError: If a port is in use.
         """
         internal = self._settings.internal
         self._internal = await open_udp(
@@ -174,213 +179,222 @@
         await self._life.wait_for_leaving()
         began = _now()
         if self._has_left:
-            # The agent is stopped after its target has ended.
-            self._do(self._holder.ended(now=_now()))
-            await self._say_gone()
-        elif await self._stays_absent():
-            await self._say_gone()
+            # The target has left, and agents are stopped only after it has
+            # ended.
+            self._perform(self._holder.ended(now=_now()))
+            await self._announce_gone()
+        elif await self._wait_until_absent():
+            await self._announce_gone()
         else:
-            # The target may live on and an agent may start beside it again.
-            self._enter(Condition.SHEDDING)
+            # The target may keep running, and another agent may start beside
+            # it.
+            self._set_condition(Condition.SHEDDING)
         while self._holder.busy and _now() - began < MAX_LEAVE_SECONDS:
             await asyncio.sleep(0.02)
         self._life.step("finished")
 
-    async def _say_gone(self) -> None:
-        self._enter(Condition.GONE)
+    async def _announce_gone(self) -> None:
+        self._set_condition(Condition.GONE)
         for _ in range(FAREWELLS):
             await asyncio.sleep(FAREWELL_SECONDS)
             self._link.announce(Condition.GONE)
 
-    async def _stays_absent(self) -> bool:
-        """Wait until it is sure that no target is left, while none has been found.
+    async def _wait_until_absent(self) -> bool:
+        """Wait until a target is found or certainly absent; return whether absent.
 
-        VMs whose targets have left start again like others after a loss of power,
-        and are given up a moment later. Balancers that still know such an agent wait
-        for its word on each dead flow: 101 of 178 flows that were asked about got no
-        verdict (log of a replay with 18 target VMs).
+        A VM whose target has left starts again like others after a loss of
+        power, and is stopped soon after. Balancers that still have a record of
+        its agent wait for its reply on each flow it may own, so it waits for
+        certainty and then announces the target as gone.
         """
         until = _now() + MAX_ABSENT_SECONDS
         while not (self._holder.has_met_target or self._holder.has_no_target):
             if _now() > until:
-                break  # The address neither refuses nor answers any more.
+                break  # The address no longer answers at all.
             await asyncio.sleep(ABSENT_CHECK_SECONDS)
         return self._holder.has_no_target
 
-    # The target's own word
+    # Messages and liveness of the target
 
     def take(self, message: TargetAnnouncement | TargetLeft) -> bool:
-        """Take what the target says of itself; tell if it is acknowledged."""
+        """Handle a message of the target; return whether to acknowledge it."""
         match message:
             case TargetAnnouncement():
-                return self._announced(message)
+                return self._handle_heartbeat(message)
             case TargetLeft():
-                return self._left(message)
+                return self._handle_leave(message)
         return False
 
-    def _announced(self, heard: TargetAnnouncement) -> bool:
+    def _handle_heartbeat(self, heartbeat: TargetAnnouncement) -> bool:
         holder = self._holder
-        match self._runs.take(heard, has_ended=self._has_target_ended):
-            case LateHeartbeat():
+        match self._instances.classify(heartbeat, has_ended=self._has_target_ended):
+            case StaleHeartbeat():
                 _log.info(
-                    "late heartbeat",
-                    instance=heard.run.instance.decode(),
-                    sequence=heard.sequence,
+                    "stale heartbeat ignored",
+                    instance=heartbeat.run.instance.decode(),
+                    sequence=heartbeat.sequence,
                     served=holder.instance.decode(),
                 )
                 return True
-            case NewRun():
-                self._begin_run(heard)
+            case NewInstance():
+                self._begin_instance(heartbeat)
                 is_new = True
             case _:
                 is_new = False
-        holder.target_load.slots = heard.slots
-        holder.target_load.is_cold_until(_now() + heard.cold_seconds)
+        holder.target_load.slots = heartbeat.slots
+        holder.target_load.set_cold_until(_now() + heartbeat.cold_seconds)
         self._life.step("configured")
-        is_late = _now() - self._gone_at < LATE_SECONDS
+        is_late = _now() - self._gone_at < MAX_HEARTBEAT_DELAY_SECONDS
         if not is_new and is_late and holder.condition is Condition.UNRESPONSIVE:
             return True  # Sent before the target ended.
-        condition = Condition.LEAVING if heard.is_draining else Condition.SERVING
-        if self._life.state == "leaving" and not heard.is_draining:
+        condition = Condition.LEAVING if heartbeat.is_draining else Condition.SERVING
+        if self._life.state == "leaving" and not heartbeat.is_draining:
             condition = Condition.SHEDDING
-        self._enter(condition, announce=is_new)
+        self._set_condition(condition, announce=is_new)
         return True
 
     @property
     def _has_target_ended(self) -> bool:
         return self._has_left or self._holder.condition is Condition.UNRESPONSIVE
 
-    def _begin_run(self, heard: TargetAnnouncement) -> None:
-        """Serve another run of the target; nothing of the one before stays."""
-        instance = heard.run.instance
+    def _begin_instance(self, heartbeat: TargetAnnouncement) -> None:
+        """Serve a new instance of the target, and discard the state of the last."""
+        instance = heartbeat.run.instance
         _log.info(
             "target started",
             instance=instance.decode(),
-            slots=heard.slots,
-            sequence=heard.sequence,
-            cold_seconds=heard.cold_seconds,
+            slots=heartbeat.slots,
+            sequence=heartbeat.sequence,
+            cold_seconds=heartbeat.cold_seconds,
         )
         self._has_left = False
-        self._link.identify(instance, slots=heard.slots)
+        self._link.identify(instance, slots=heartbeat.slots)
         resets = self._holder.started(
             instance,
-            is_first=heard.sequence <= 1,
-            is_young=heard.cold_seconds > 0,
+            is_first=heartbeat.sequence <= 1,
+            is_young=heartbeat.cold_seconds > 0,
             now=_now(),
         )
-        self._do(resets)
-        self._do(self._holder.answer_kept(now=_now()))
+        self._perform(resets)
+        self._perform(self._holder.answer_pending(now=_now()))
 
-    def _left(self, farewell: TargetLeft) -> bool:
-        instance = farewell.run.instance.decode()
-        if self._runs.is_current(farewell.run):
+    def _handle_leave(self, notice: TargetLeft) -> bool:
+        instance = notice.run.instance.decode()
+        if self._instances.is_current(notice.run):
             _log.info("target left", instance=instance)
             self._has_left = True
-            # It still runs for a moment, even after it has stopped listening;
-            # until its VM is given up its flows may be open.
-            self._enter(Condition.LEAVING)
+            # The target keeps running for a moment after it has stopped
+            # listening. Its flows may be open until its VM is stopped.
+            self._set_condition(Condition.LEAVING)
         else:
-            _log.info("another run's farewell", instance=instance)
+            _log.info("stale leave notice ignored", instance=instance)
         return True
 
     def _target_up(self) -> None:
         """Serve a target that listens before its first heartbeat has come.
 
-        One that is leaving says so with its next heartbeat, in about a second.
+        A target that is leaving reports it with its next heartbeat, within
+        about a second.
         """
         if self._holder.condition is Condition.STARTING:
             self._life.step("configured")
-            self._enter(Condition.SERVING)
+            self._set_condition(Condition.SERVING)
 
     def _target_gone(self) -> None:
-        """The target's address refuses connections: its flows have ended."""
+        """Handle refused connections: the target and its flows have ended.
+
+        A target that is leaving is an exception: it may have stopped listening
+        only.
+        """
         if self._has_left or self._holder.condition is Condition.UNRESPONSIVE:
             return
         if self._holder.condition is Condition.LEAVING:
-            # Its farewell may have been lost; until its VM is given up it may
-            # run on without listening, and hold its flows.
+            # Its leave notice may have been lost. It may keep running without
+            # listening, and own flows, until its VM is stopped.
             self._has_left = True
-            _log.info("leaving target does not listen")
+            _log.info("draining target does not listen")
             return
         self._gone_at = _now()
         resets = self._holder.ended(now=self._gone_at)
         _log.warning("target does not listen", flows=len(resets))
-        self._enter(Condition.UNRESPONSIVE)
-        self._do(resets)
+        self._set_condition(Condition.UNRESPONSIVE)
+        self._perform(resets)
 
     def _target_absent(self) -> None:
-        """Nobody has listened at the target's address since this agent's start.
+        """Announce that nothing has listened since the start of this agent.
 
-        Balancers are told unasked: a VM that starts without its target after a loss
-        of power may be given up before anybody asks (21 of 79, log of a replay).
+        Balancers are told unasked: a VM that starts without its target after a
+        loss of power may be stopped before a balancer queries it.
         """
         self._holder.absent(now=_now())
         if self._holder.is_absent and not self._link.record.is_absent:
             self._link.announce_absent()
 
-    def _enter(self, condition: Condition, *, announce: bool = False) -> None:
+    def _set_condition(self, condition: Condition, *, announce: bool = False) -> None:
         if condition is self._holder.condition and not announce:
             return
         before = self._holder.condition
         self._holder.condition = condition
         self._link.announce(condition)
         self._report_soon()
-        _log.info("target's condition", before=before.name, after=condition.name)
+        _log.info(
+            "target's condition changed", before=before.name, after=condition.name
+        )
 
-    def _limit_cold(self, ack: HeartbeatAck) -> None:
-        """Take what the configuration allows, unless an older one says so."""
-        if ack.version >= self._limited_by:
-            self._limited_by = ack.version
+    def _apply_cold_limit(self, ack: HeartbeatAck) -> None:
+        """Apply the limit of the configuration, unless a newer one is known."""
+        if ack.version >= self._cold_limit_version:
+            self._cold_limit_version = ack.version
             self._holder.target_load.cold.per_second = ack.cold_per_second
 
     def _evacuate(self) -> None:
-        """Obey a new order on the data centre, for flows that wait here too."""
+        """Apply a new evacuation order, also to SYNs that wait here."""
         self._holder.is_evacuated = self._link.is_evacuated
-        self._do(self._holder.expire(now=_now()))
+        self._perform(self._holder.expire(now=_now()))
 
     # Packets and frames
 
     def _receive_frame(self, data: bytes, sender: tuple[str, int]) -> None:
         if self._internal is None or self._outbound is None:
-            return  # it came while the sockets were being set up
-        frame = self._frames.decode(data)
+            return  # The sockets are still being opened.
+        frame = self._frame_codec.decode(data)
         match frame:
             case Carry():
                 self._receive_carried(frame, sender=frame.reply_to or sender)
             case PassOn(service=service, payload=payload):
-                self._do(self._holder.pass_on(frame, balancer=sender))
+                self._perform(self._holder.relay(frame, balancer=sender))
                 own = Carry(service=service, payload=payload, asks=True)
                 self._receive_carried(own, sender=sender)
             case Whose():
-                self._do(self._holder.ask(frame, sender=sender, now=_now()))
+                self._perform(self._holder.ask(frame, sender=sender, now=_now()))
             case Reserve():
-                self._do(self._holder.reserve(frame, balancer=sender, now=_now()))
+                self._perform(self._holder.reserve(frame, balancer=sender, now=_now()))
             case Decline():
-                self._do(self._holder.declined(balancer=sender, now=_now()))
+                self._perform(self._holder.declined(balancer=sender, now=_now()))
             case HeartbeatAck():
                 self._link.acknowledged(frame)
-                self._limit_cold(frame)
+                self._apply_cold_limit(frame)
             case Dropped(reason=reason):
                 self._drop(reason)
             case _:
                 self._drop("unexpected")
 
     def _receive_carried(self, frame: Carry, *, sender: tuple[str, int]) -> None:
-        packet = self._packets.decode(frame.payload, from_target=False)
+        packet = self._packet_codec.decode(frame.payload, from_target=False)
         if isinstance(packet, Dropped):
             self._drop(packet.reason)
             return
         actions = self._holder.from_balancer(frame, packet, sender=sender, now=_now())
-        self._do(actions)
+        self._perform(actions)
 
     def _receive_packet(self, data: bytes, sender: tuple[str, int]) -> None:
-        packet = self._packets.decode(data, from_target=True)
+        packet = self._packet_codec.decode(data, from_target=True)
         if isinstance(packet, Dropped):
             self._drop(packet.reason)
             return
-        self._do(self._holder.from_target(packet, now=_now()))
+        self._perform(self._holder.from_target(packet, now=_now()))
 
-    def _do(self, actions: list) -> None:
+    def _perform(self, actions: list) -> None:
         for action in actions:
             match action:
                 case ToTarget(raw=raw):
@@ -390,39 +404,39 @@
                 case ToProcess(endpoint=endpoint, frame=frame):
                     self._send_frame(frame, endpoint)
                 case ResetFlow(ip=ip, flow=flow, acknowledged=acknowledged):
-                    reset = self._packets.reset(flow, acknowledged=acknowledged)
+                    reset = self._packet_codec.reset(flow, acknowledged=acknowledged)
                     self._send_to_caller(reset, ip=ip, flow=flow)
                     _log.info(
                         "caller reset", flow=flow_name(flow), reason="target ended"
                     )
         self._report_soon()
 
-        if self._looking is None and self._holder.is_waiting:
+        if self._expiry_timer is None and self._holder.is_waiting:
             loop = asyncio.get_running_loop()
-            self._looking = loop.call_later(LOOK_SECONDS, self._look_after)
+            self._expiry_timer = loop.call_later(LOOK_SECONDS, self._run_expiry)
 
-    def _look_after(self) -> None:
-        self._looking = None
-        self._do(self._holder.expire(now=_now()))
+    def _run_expiry(self) -> None:
+        self._expiry_timer = None
+        self._perform(self._holder.expire(now=_now()))
 
     def _report_soon(self) -> None:
-        if self._reporting is None:
+        if self._report_timer is None:
             loop = asyncio.get_running_loop()
-            self._reporting = loop.call_later(REPORT_SECONDS, self._report)
+            self._report_timer = loop.call_later(REPORT_SECONDS, self._report)
 
     def _report(self) -> None:
-        self._reporting = None
+        self._report_timer = None
         for action in self._holder.load_reports(now=_now()):
             self._send_frame(action.frame, action.endpoint)
 
     def _send_frame(self, frame, endpoint: tuple[str, int]) -> None:
         """Send a frame to another process's internal address."""
         if self._internal is None:
-            return  # a heartbeat while the socket was being set up
+            return  # A heartbeat is due while the socket is still being opened.
         send_frame(
             frame,
             endpoint,
-            codec=self._frames,
+            codec=self._frame_codec,
             sender=self._sender,
             socket=self._internal,
         )
@@ -440,12 +454,12 @@
     async def _tick_forever(self) -> None:
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            self._do(self._holder.tick(now=_now()))
-            self._do(self._holder.answer_kept(now=_now()))
+            self._perform(self._holder.tick(now=_now()))
+            self._perform(self._holder.answer_pending(now=_now()))
 
     # Control
 
-    async def _answer(self, message):
+    async def _answer_control(self, message):
         match message:
             case AskStatus():
                 return StatusReply(
@@ -464,17 +478,17 @@
 
     def _metrics(self):
         yield gauge("uptime_seconds", "Time since start.", _now() - self._started)
-        yield gauge("flows", "Flows that the target holds.", self._holder.flows)
-        yield gauge("busy", "Requests that the target works on.", self._holder.busy)
+        yield gauge("flows", "Flows that the target owns.", self._holder.flows)
+        yield gauge("busy", "Requests in flight at the target.", self._holder.busy)
         failed = self._holder.target_load.failed_percent(now=_now())
-        yield gauge("failed_percent", "Of the target's latest requests.", failed)
+        yield gauge("failed_percent", "Recent requests that failed, in %.", failed)
         yield self._holder.target_load.answer_seconds
         yield from self._holder.target_load.readings
         yield from self._sender.readings
         results = self._holder.counts_by_result
         yield counter("flow_decisions", "Decisions on flows.", results, "result")
         drops = self._dropped_by_reason
-        yield counter("dropped_datagrams", "Datagrams not used.", drops, "reason")
+        yield counter("dropped_datagrams", "Datagrams dropped.", drops, "reason")
 
 
 def _now() -> float:
--- a/monsoonpier/agent/packets/queue.py
+++ b/monsoonpier/agent/packets/queue.py
@@ -1,15 +1,12 @@
 """SYNs that wait at an agent for a slot of its target.
 
-The load that it answers: all slots are taken and several balancers have flows for
-the next one. Only the agent knows when a slot comes free: a SYN that waits beside it
-is delivered at once, and the one whose answer is worth most goes first, whichever
-balancer it came from. Without it each balancer sent its own flow for each free slot,
-and all but one came back: 4,400 refusals for 780 flows in the four seconds after a
-loss of power (four data centres, eleven targets of four slots, logs of one replay),
-a way there and back each while the slot stood empty.
-
-The queue is short. A flow that waits here can't go to another target that comes free
-earlier, and one in time may take the place of a late one at any moment.
+Only the agent knows when a slot comes free. A SYN that waits here is delivered
+at once, without a round trip to its balancer, and waiting SYNs of several
+balancers are served in one order.
+
+The queue is short, since a flow that waits here can't go to another target
+that has a free slot earlier, and a flow in time may replace a late one at any
+moment.
 """
 
 from dataclasses import dataclass
@@ -20,12 +17,12 @@
 
 __all__ = ["AdmissionQueue", "QueuedSyn"]
 
-MAX_SEATS_PER_SLOT = 1  # so that a flow in time waits about one run at the most
+MAX_QUEUED_PER_SLOT = 1  # a flow in time waits for about one run at most
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QueuedSyn:
-    """A SYN that waits, and what is needed to deliver it or to send it back."""
+    """A waiting SYN with what is needed to deliver or reject it."""
 
     packet: Packet
     tried: tuple[str, ...]
@@ -52,10 +49,10 @@
 
     @property
     def late(self) -> int:
-        """How many others there are."""
+        """How many can no longer be answered in time."""
         return self._queue.late
 
-    def offer(
+    def add(
         self,
         frame: Carry,
         packet: Packet,
@@ -65,14 +62,14 @@
         run_seconds: float,
         now: float,
     ) -> QueuedSyn | None:
-        """Let a SYN wait; return the one that there is no room for then.
+        """Add a SYN; return the SYN that the queue has no room for, if any.
 
         Args:
-            frame: What brought it; says how long the caller waits.
+            frame: The frame with the SYN; says how long the caller waits.
             packet: The SYN.
-            balancer: Who sent it.
-            slots: The target's.
-            run_seconds: How long a run takes here.
+            balancer: The balancer that sent it.
+            slots: How many requests the target works on at once.
+            run_seconds: How long the target takes for a request.
             now: The present time.
         """
         self._syns_by_flow[packet.flow] = QueuedSyn(
@@ -86,7 +83,7 @@
         )
         self._queue.add(waiting)
         self._queue.sort_out(now=now, run_seconds=run_seconds)
-        if len(self._queue) <= MAX_SEATS_PER_SLOT * slots:
+        if len(self._queue) <= MAX_QUEUED_PER_SLOT * slots:
             return None
         last = self._queue.last
         assert last is not None
@@ -94,19 +91,19 @@
         return self._syns_by_flow.pop(last.flow)
 
     def pop(self, *, run_seconds: float, now: float) -> QueuedSyn | None:
-        """Return the SYN whose turn it is, if one waits."""
+        """Remove and return the next SYN to deliver, if any waits."""
         if not self._syns_by_flow:
             return None
         self._queue.sort_out(now=now, run_seconds=run_seconds)
         return self._syns_by_flow.pop(self._queue.pop().flow)
 
     def pop_expired(self, *, now: float) -> list[QueuedSyn]:
-        """Return the SYNs whose callers are about to give up."""
+        """Remove and return the SYNs whose callers are about to give up."""
         gone = self._queue.pop_expired(now=now)
         return [self._syns_by_flow.pop(waiting.flow) for waiting in gone]
 
     def pop_all(self) -> list[QueuedSyn]:
-        """Return all SYNs: the target takes no new flows any more."""
+        """Remove and return all SYNs."""
         syns = list(self._syns_by_flow.values())
         self._syns_by_flow.clear()
         self._queue = WaitingQueue()
--- a/monsoonpier/agent/packets/reservations.py
+++ b/monsoonpier/agent/packets/reservations.py
@@ -1,15 +1,14 @@
-"""Slots that balancers have reserved for flows that wait, and offers of them.
-
-The load that it answers: more flows than slots for seconds, at many balancers. A
-balancer that is told of a free slot sends a flow, and so does every other one that is
-told; all but one come back, and those that are told of none serve their callers last.
-So a flow waits at its balancer and reserves a slot at a few agents. Whoever has a slot
-to give offers it to one balancer, the one whose flow goes first by the order of all
-that wait, and that balancer sends the flow that is its first by then.
-
-Balancers reserve at agents that they draw, so what is reserved here is a fair sample
-of what waits for the service: how much of it can't be served before its callers give
-up is seen from it, with no one counting the whole.
+"""Slots that balancers reserve for waiting flows, and offers of them.
+
+When there are more flows than slots, every balancer that is told of a free
+slot would send a flow, and all but one would be rejected. Instead a flow waits
+at its balancer, which reserves a slot at a few agents. An agent with a free
+slot offers it to the balancer whose flow comes first in the order of all that
+wait, and the balancer sends the flow that is its first by then.
+
+Balancers reserve at random agents, so the reservations here are a fair sample
+of the service's waiting flows. The share of late flows that need a slot is
+estimated from them.
 """
 
 from collections import Counter, deque
@@ -29,33 +28,37 @@
 
 Endpoint = tuple[str, int]
 
-MAX_RESERVATIONS = 512  # of one agent: ten seconds of runs of 20 ms
-# A way to a balancer and back takes 3 ms at most in a region. One that hasn't sent a
-# flow in seven times as long has ended, or its link is full.
-OFFER_SECONDS = 0.02
-MOST_PASSED = 2  # offers in a row that a balancer that lives may miss by a little
-# Late ones get what they need for all of them to be served, as long as that is no more
-# than this. Where more than that is late the rush is too large to serve all, and slots
-# that go to late ones only make others late.
-MOST_LATE_SHARE = 0.3
+MAX_RESERVATIONS = 512  # of one agent
+OFFER_SECONDS = 0.02  # several round trips to a balancer in the same region
+MOST_PASSED = 2  # unanswered offers in a row after which reservations are removed
+# Late flows get the share of slots that serves all of them, up to this share.
+# If they need more, not all can be served, and their slots make others late
+# too.
+MAX_LATE_SHARE = 0.3
 
 
 class SlotOffer(NamedTuple):
-    """Whom a slot is offered to."""
+    """The balancer that a slot is offered to.
+
+    Attributes:
+        balancer: The balancer's internal address.
+        is_late_turn: Whether the slot is for a flow that can't be answered in
+            time.
+    """
 
     balancer: Endpoint
     is_late_turn: bool
 
 
 class Reservations:
-    """What balancers have reserved at one agent. Does no I/O."""
+    """Reservations and open offers of one agent. Does no I/O."""
 
     def __init__(self, *, most: int = MAX_RESERVATIONS) -> None:
-        self._most = most
+        self._max_reservations = most
         self._queue = WaitingQueue()
         self._balancers_by_flow: dict[bytes, Endpoint] = {}
-        self._late_due = 0.0  # turns of late ones, in parts
-        self._passed_by_balancer: Counter[Endpoint] = Counter()
+        self._late_credit = 0.0  # slots due to late flows, with fractions
+        self._unanswered_by_balancer: Counter[Endpoint] = Counter()
         self._offers: deque[tuple[float, Endpoint]] = deque()
 
     def __len__(self) -> int:
@@ -63,7 +66,7 @@
 
     @property
     def offered(self) -> int:
-        """How many slots are kept for balancers that have yet to send a flow."""
+        """How many offers have not been answered yet."""
         return len(self._offers)
 
     @property
@@ -72,11 +75,15 @@
         return not self._balancers_by_flow and not self._offers
 
     def reserve(self, frame: Reserve, *, balancer: Endpoint, now: float) -> bool:
-        """Note a reservation, or its new times; tell if there is room for it."""
+        """Add, update or cancel a reservation; return whether it is kept.
+
+        A frame whose ``wait_ms`` is 0 cancels the flow's reservation, and
+        ``True`` is returned.
+        """
         if not frame.wait_ms:
-            # Its SYN's copy may wait at another balancer.
+            # A retransmission of its SYN may wait at another balancer.
             if self._balancers_by_flow.get(frame.flow) == balancer:
-                self._forget_flows({frame.flow})
+                self._remove_flows({frame.flow})
             return True
         waiting = WaitingFlow(
             flow=frame.flow,
@@ -85,27 +92,27 @@
             priority=frame.priority,
         )
         if frame.flow in self._balancers_by_flow:
-            # Its caller has turned out to have asked before.
+            # Its times change if its caller turns out to have asked before.
             self._queue.remove(waiting)
-        elif len(self._balancers_by_flow) >= self._most:
+        elif len(self._balancers_by_flow) >= self._max_reservations:
             return False
         self._balancers_by_flow[frame.flow] = balancer
         self._queue.add(waiting)
         return True
 
     def offer(self, *, run_seconds: float, slots: int, now: float) -> SlotOffer | None:
-        """Offer a slot to the balancer whose flow goes first, if one waits.
+        """Offer a slot to the balancer whose flow comes first, if any waits.
 
         Args:
-            run_seconds: How long a run takes here.
-            slots: The target's.
+            run_seconds: How long the target takes for a request.
+            slots: How many requests the target works on at once.
             now: The present time.
         """
         for waiting in self._queue.pop_expired(now=now):
             self._balancers_by_flow.pop(waiting.flow, None)
         if not self._balancers_by_flow:
             return None
-        # It begins behind the run that is under way.
+        # It starts after the request that now uses the slot.
         behind = QUEUE_AHEAD / slots / MARGIN_RUNS
         self._queue.sort_out(now=now, run_seconds=run_seconds * (1 + behind))
         seconds_each = run_seconds / slots / RESERVED_AT
@@ -116,60 +123,63 @@
         return SlotOffer(balancer=balancer, is_late_turn=is_late_turn)
 
     def _is_late_turn(self, *, seconds_each: float, now: float) -> bool:
-        """Tell whether a late one is due, by the share that they need."""
+        """Return whether the next slot is due to a late flow."""
         if not self._queue.late or not self._queue.timely:
             return False
         needed = self._queue.needed_late_share(now=now, seconds_each=seconds_each)
-        share = needed if needed <= MOST_LATE_SHARE else 0.0
-        self._late_due += max(share, 1 / LATE_TURN)
-        is_due = self._late_due >= 1
-        self._late_due -= int(is_due)
+        share = needed if needed <= MAX_LATE_SHARE else 0.0
+        self._late_credit += max(share, 1 / LATE_TURN)
+        is_due = self._late_credit >= 1
+        self._late_credit -= int(is_due)
         return is_due
 
     def taken(self, balancer: Endpoint) -> None:
-        """Note that a balancer has answered an offer, if one was made to it."""
-        self._passed_by_balancer.pop(balancer, None)
+        """Record that a balancer has answered an offer, if it had one."""
+        self._unanswered_by_balancer.pop(balancer, None)
         for offer in self._offers:
             if offer[1] == balancer:
                 self._offers.remove(offer)
                 return
 
     def declined(self, balancer: Endpoint) -> None:
-        """Forget a balancer's reservations: nothing waits there any more."""
+        """Record a declined offer, and remove the balancer's reservations."""
         self.taken(balancer)
-        self._forget({balancer})
+        self._remove_balancers({balancer})
 
     def expire(self, *, now: float) -> Counter[Endpoint]:
-        """Take back offers that weren't answered; return how many, by balancer.
+        """Withdraw unanswered offers; return their counts by balancer.
 
-        Whoever lets several pass in a row has ended or can't be reached: its
-        reservations would cost a slot's time each. If it lives it reserves again.
+        A balancer that leaves several in a row unanswered has ended or can't
+        be reached. Its reservations are removed, since each would keep a slot
+        empty; a live balancer reserves again.
         """
         passed: Counter[Endpoint] = Counter()
         while self._offers and now - self._offers[0][0] >= OFFER_SECONDS:
             passed[self._offers.popleft()[1]] += 1
-        # Several that pass at the same moment are one sign.
-        self._passed_by_balancer.update(set(passed))
-        self._forget({b for b in passed if self._passed_by_balancer[b] >= MOST_PASSED})
+        # Several offers that expire together count once.
+        self._unanswered_by_balancer.update(set(passed))
+        self._remove_balancers(
+            {b for b in passed if self._unanswered_by_balancer[b] >= MOST_PASSED}
+        )
         return passed
 
     def clear(self) -> None:
-        """Forget all: the target takes no new flows any more."""
+        """Remove everything, since the target takes no new flows."""
         self._queue = WaitingQueue()
         self._balancers_by_flow.clear()
         self._offers.clear()
-        self._late_due = 0.0
-        self._passed_by_balancer.clear()
+        self._late_credit = 0.0
+        self._unanswered_by_balancer.clear()
 
-    def _forget(self, balancers: set[Endpoint]) -> None:
+    def _remove_balancers(self, balancers: set[Endpoint]) -> None:
         if not balancers:
             return
         gone = {f for f, b in self._balancers_by_flow.items() if b in balancers}
-        self._forget_flows(gone)
+        self._remove_flows(gone)
         for balancer in balancers:
-            self._passed_by_balancer.pop(balancer, None)
+            self._unanswered_by_balancer.pop(balancer, None)
 
-    def _forget_flows(self, flows: set[bytes]) -> None:
+    def _remove_flows(self, flows: set[bytes]) -> None:
         for flow in flows:
             self._balancers_by_flow.pop(flow, None)
         self._queue.remove_all(flows)
--- a/monsoonpier/agent/packets/run_times.py
+++ b/monsoonpier/agent/packets/run_times.py
@@ -1,9 +1,8 @@
-"""How long a target's runs take, also while all its slots are taken.
+"""Estimates the service time of a target's runs, also under overload.
 
-The load that it answers: more requests than slots for seconds. Each request then waits
-at the target for a run to end, and the time to its answer says nothing by itself; to
-learn from the others only is to learn nothing as long as the load lasts. A target
-takes what waits in the order of arrival, so a run begins when the one before it ends.
+When there are more requests than slots, a request waits at the target, and the
+time to its answer includes the wait. A target takes waiting requests in the
+order of arrival, so a run is taken to start when an earlier one ends.
 """
 
 from collections import deque
@@ -17,49 +16,53 @@
 
 
 class RunTimes:
-    """The smoothed time of one target's runs. Does no I/O.
+    """The smoothed service time of one target. Does no I/O.
 
     Attributes:
-        run_ms: What a run takes; 0 before the first one was timed.
+        run_ms: Service time of a run; 0 before the first one was timed.
     """
 
     def __init__(self) -> None:
         self.run_ms = 0.0
-        self._behind: deque[PacketFlow] = deque()
+        self._waiting: deque[PacketFlow] = deque()
 
-    def asked(self, flow: PacketFlow, *, is_slot_free: bool, now: float) -> None:
-        """Note a request, which begins at once if a slot is free."""
+    def request_started(
+        self, flow: PacketFlow, *, is_slot_free: bool, now: float
+    ) -> None:
+        """Record a request, which starts at once if a slot is free."""
         flow.run_began_at = now if is_slot_free else None
         if not is_slot_free:
-            self._behind.append(flow)
+            self._waiting.append(flow)
 
-    def answered(self, flow: PacketFlow, *, is_failure: bool, now: float) -> None:
-        """Learn from an answer; the request that has waited longest begins then."""
-        # A failure takes no time and says nothing of a run's.
+    def request_answered(
+        self, flow: PacketFlow, *, is_failure: bool, now: float
+    ) -> None:
+        """Record an answer; the request that has waited longest starts then."""
+        # A failed request may have ended early, so its duration isn't used.
         if flow.run_began_at is not None and not is_failure:
             self._learn(max(MIN_RUN_MS, 1000 * (now - flow.run_began_at)))
         flow.run_began_at = None
-        self._begin_next(besides=flow, now=now)
+        self._start_next(except_flow=flow, now=now)
 
-    def broken_off(self, flow: PacketFlow, *, now: float) -> None:
-        """Note a request that gets no answer; it may have waited still."""
+    def request_aborted(self, flow: PacketFlow, *, now: float) -> None:
+        """Record that a request gets no answer; it may not have started."""
         if flow.run_began_at is not None:
             flow.run_began_at = None
-            self._begin_next(besides=flow, now=now)
+            self._start_next(except_flow=flow, now=now)
 
-    def _begin_next(self, *, besides: PacketFlow, now: float) -> None:
-        while self._behind:
-            following = self._behind.popleft()
-            if following is besides or following.phase is not Phase.RUNNING:
+    def _start_next(self, *, except_flow: PacketFlow, now: float) -> None:
+        while self._waiting:
+            next_flow = self._waiting.popleft()
+            if next_flow is except_flow or next_flow.phase is not Phase.RUNNING:
                 continue
-            if following.run_began_at is None:
-                following.run_began_at = now
+            if next_flow.run_began_at is None:
+                next_flow.run_began_at = now
                 return
 
     def target_ended(self) -> None:
-        """Forget all: another run of the target may be faster or slower."""
+        """Forget everything: the next instance may be faster or slower."""
         self.run_ms = 0.0
-        self._behind.clear()
+        self._waiting.clear()
 
     def _learn(self, run_ms: float) -> None:
         if self.run_ms:
--- a/monsoonpier/agent/packets/target_knowledge.py
+++ b/monsoonpier/agent/packets/target_knowledge.py
@@ -1,71 +1,74 @@
-"""What an agent knows of its target's present run, and so of its flows.
+"""What an agent knows of its target's current instance and its flows.
 
-An agent that saw the run begin knows all of its flows. One that has started beside a
-running target doesn't; one that has found no target for long enough knows that there
-are none.
+An agent that saw the instance start knows all of its flows. One that started
+beside a running target does not. One that has found no listening target for
+`ABSENT_SECONDS` knows that there are no flows.
 """
 
 from monsoonpier.model.target import ABSENT_SECONDS
 
-__all__ = ["TargetKnowledge"]
+__all__ = ["InstanceState"]
 
 
-class TargetKnowledge:
-    """Since when the target runs, and whether all of its flows are known. No I/O.
+class InstanceState:
+    """The current instance and whether its flows are known. Does no I/O.
 
     Attributes:
-        instance: Names the run; empty before the target has announced itself.
-        knows_all: Flows that the agent doesn't know can't be open there.
+        instance: Identifies the instance; empty before the target's first
+            heartbeat.
+        knows_all_flows: Whether the target owns no flow that the agent doesn't
+            know.
     """
 
     def __init__(self) -> None:
         self.instance = b""
-        self.knows_all = False
-        self._began_at: float | None = None
-        self._absent_since: float | None = None
+        self.knows_all_flows = False
+        self._started_at: float | None = None
+        self._no_listener_since: float | None = None
 
     @property
     def is_absent(self) -> bool:
-        """Whether nobody has listened at the target's address, nor spoken for it."""
-        return not self.instance and self._absent_since is not None
+        """Whether the agent has seen no listener and no heartbeat so far."""
+        return not self.instance and self._no_listener_since is not None
 
     def is_replaced_by(self, instance: bytes) -> bool:
-        """Tell whether a run takes the place of an earlier one."""
+        """Return whether an instance replaces an earlier one."""
         return bool(self.instance) and instance != self.instance
 
-    def met(
+    def observe_first(
         self, instance: bytes, *, is_first: bool, is_young: bool, now: float
     ) -> None:
-        """Take the first run that is heard of.
+        """Record the first instance that the agent learns of.
 
         Args:
-            instance: Names the run.
-            is_first: This agent has seen the run from its start.
-            is_young: The run began a moment ago, if not under this agent's eyes.
+            instance: Identifies the instance.
+            is_first: Whether the agent has seen the instance from its start.
+            is_young: Whether the instance has just started, possibly before
+                the agent.
             now: The present time.
         """
         self.instance = instance
-        self.knows_all = is_first
-        self._began_at = now if is_first or is_young else None
+        self.knows_all_flows = is_first
+        self._started_at = now if is_first or is_young else None
 
-    def began(self, instance: bytes, *, now: float) -> None:
-        """Take a run that begins, or an end after which nothing runs yet."""
+    def start(self, instance: bytes, *, now: float) -> None:
+        """Record that an instance starts, or that one ended with no successor."""
         self.instance = instance
-        self.knows_all = True
-        self._began_at = now
+        self.knows_all_flows = True
+        self._started_at = now
 
-    def absent(self, *, now: float) -> bool:
-        """Note that nobody listens; tell whether that is new."""
-        is_new = self._absent_since is None
-        if self._absent_since is None:
-            self._absent_since = now
-        # One that has stopped listening to leave is gone by then, and one that
-        # starts would have announced itself.
-        self.knows_all = now - self._absent_since >= ABSENT_SECONDS
+    def note_no_listener(self, *, now: float) -> bool:
+        """Record that nothing listens; return whether this is the first time."""
+        is_new = self._no_listener_since is None
+        if self._no_listener_since is None:
+            self._no_listener_since = now
+        # By then a target that stopped listening because it leaves has ended,
+        # and one that starts would have sent a heartbeat.
+        self.knows_all_flows = now - self._no_listener_since >= ABSENT_SECONDS
         return is_new
 
     def run_ms(self, *, now: float) -> int | None:
-        """Return how long ago the run began; ``None`` if that isn't known."""
-        if self._began_at is None:
+        """Return the instance's age in milliseconds, or ``None`` if unknown."""
+        if self._started_at is None:
             return None
-        return round((now - self._began_at) * 1000)
+        return round((now - self._started_at) * 1000)
--- a/monsoonpier/agent/packets/target_run.py
+++ b/monsoonpier/agent/packets/target_run.py
@@ -1,9 +1,8 @@
-"""Which run of its target an agent serves, told by what targets say of themselves.
+"""Tells a target's current instance from earlier ones by their heartbeats.
 
-A target may start again under the identity that it had, knowing nothing, with
-heartbeats that are counted from the beginning. What its earlier run said may still
-arrive: it must not undo the newer run, nor must the newer run's first heartbeats be
-taken for late ones.
+A target may restart under the same identity, with sequence numbers that start
+again. Delayed messages of the earlier instance must not replace the newer one,
+and the first heartbeats of the newer one must not be taken for stale ones.
 """
 
 from collections import deque
@@ -11,90 +10,96 @@
 
 from monsoonpier.agent.packets.announcement import TargetAnnouncement, TargetRun
 
-__all__ = ["CurrentHeartbeat", "LateHeartbeat", "NewRun", "RunHistory"]
+__all__ = ["CurrentHeartbeat", "StaleHeartbeat", "NewInstance", "InstanceHistory"]
 
-MAX_PAST_RUNS = 16  # whose late heartbeats may still be on their way
-# A clock that was set back between two runs makes the newer one look older. One
-# late heartbeat of a run that has ended may come, not two in a row: a target
-# waits for an answer before it sends the next.
+MAX_PREVIOUS_INSTANCES = 16  # instances whose delayed heartbeats are recognised
+# A clock that was set back makes a newer instance look older than the current
+# one. Two heartbeats confirm it: at most one heartbeat of an ended instance
+# can be in transit, since a target waits for the response before it sends the
+# next.
 CONFIRMING_HEARTBEATS = 2
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class NewRun:
-    """The first word of a run that takes the place of the one before."""
+class NewInstance:
+    """The first heartbeat of an instance that replaces the current one."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CurrentHeartbeat:
-    """The newest word of the run that is served."""
+    """A new heartbeat of the current instance."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class LateHeartbeat:
-    """A word that something newer has overtaken, or that must be confirmed."""
+class StaleHeartbeat:
+    """A heartbeat to ignore: outdated, or of an unconfirmed instance."""
 
 
-class RunHistory:
-    """The run that is served, and those whose place it has taken. Does no I/O."""
+class InstanceHistory:
+    """The current instance of the target and earlier ones. Does no I/O."""
 
     def __init__(self) -> None:
         self._current: TargetRun | None = None
         self._sequence = -1
-        self._past: deque[TargetRun] = deque(maxlen=MAX_PAST_RUNS)
-        self._doubtful: TargetRun | None = None
-        self._doubtful_sequences: set[int] = set()
+        self._previous: deque[TargetRun] = deque(maxlen=MAX_PREVIOUS_INSTANCES)
+        self._unconfirmed: TargetRun | None = None
+        self._unconfirmed_sequences: set[int] = set()
 
-    def is_current(self, run: TargetRun) -> bool:
-        """Tell whether this is the run that is served."""
-        return run == self._current
+    def is_current(self, instance: TargetRun) -> bool:
+        """Return whether this is the current instance."""
+        return instance == self._current
 
-    def take(
-        self, heard: TargetAnnouncement, *, has_ended: bool
-    ) -> NewRun | CurrentHeartbeat | LateHeartbeat:
-        """Take a heartbeat and tell what it is.
+    def classify(
+        self, heartbeat: TargetAnnouncement, *, has_ended: bool
+    ) -> NewInstance | CurrentHeartbeat | StaleHeartbeat:
+        """Classify a heartbeat and record the instance that sent it.
 
         Args:
-            heard: The heartbeat.
-            has_ended: The current run is known to have ended.
+            heartbeat: The heartbeat.
+            has_ended: Whether the current instance is known to have ended.
         """
-        if heard.run == self._current:
-            return self._take_current(heard)
-        if heard.run in self._past:
-            return LateHeartbeat()
-        if not (has_ended or self._follows(heard.run) or self._is_confirmed(heard)):
-            return LateHeartbeat()
+        if heartbeat.run == self._current:
+            return self._classify_current(heartbeat)
+        if heartbeat.run in self._previous:
+            return StaleHeartbeat()
+        if not (
+            has_ended or self._is_newer(heartbeat.run) or self._is_confirmed(heartbeat)
+        ):
+            return StaleHeartbeat()
         if self._current is not None:
-            self._past.append(self._current)
-        self._current = heard.run
-        self._sequence = heard.sequence
-        self._forget_doubtful()
-        return NewRun()
-
-    def _take_current(
-        self, heard: TargetAnnouncement
-    ) -> CurrentHeartbeat | LateHeartbeat:
-        if heard.sequence <= self._sequence:
-            return LateHeartbeat()
-        self._sequence = heard.sequence
-        self._forget_doubtful()
+            self._previous.append(self._current)
+        self._current = heartbeat.run
+        self._sequence = heartbeat.sequence
+        self._clear_unconfirmed()
+        return NewInstance()
+
+    def _classify_current(
+        self, heartbeat: TargetAnnouncement
+    ) -> CurrentHeartbeat | StaleHeartbeat:
+        if heartbeat.sequence <= self._sequence:
+            return StaleHeartbeat()
+        self._sequence = heartbeat.sequence
+        self._clear_unconfirmed()
         return CurrentHeartbeat()
 
-    def _follows(self, run: TargetRun) -> bool:
-        """Tell whether a run is newer than the current one by its own word."""
+    def _is_newer(self, instance: TargetRun) -> bool:
+        """Return whether an instance reports a later start than the current."""
         current = self._current
         if current is None or current.born_ms is None:
             return True
-        return run.born_ms is not None and run.born_ms > current.born_ms
-
-    def _is_confirmed(self, heard: TargetAnnouncement) -> bool:
-        """Tell whether a run that looks older keeps speaking while none other does."""
-        if heard.run != self._doubtful:
-            self._forget_doubtful()
-            self._doubtful = heard.run
-        self._doubtful_sequences.add(heard.sequence)
-        return len(self._doubtful_sequences) >= CONFIRMING_HEARTBEATS
-
-    def _forget_doubtful(self) -> None:
-        self._doubtful = None
-        self._doubtful_sequences = set()
+        return instance.born_ms is not None and instance.born_ms > current.born_ms
+
+    def _is_confirmed(self, heartbeat: TargetAnnouncement) -> bool:
+        """Return whether an older-looking instance has sent several heartbeats.
+
+        Heartbeats of any other instance in between start the count again.
+        """
+        if heartbeat.run != self._unconfirmed:
+            self._clear_unconfirmed()
+            self._unconfirmed = heartbeat.run
+        self._unconfirmed_sequences.add(heartbeat.sequence)
+        return len(self._unconfirmed_sequences) >= CONFIRMING_HEARTBEATS
+
+    def _clear_unconfirmed(self) -> None:
+        self._unconfirmed = None
+        self._unconfirmed_sequences = set()
--- a/tests/packets/rig.py
+++ b/tests/packets/rig.py
@@ -23,7 +23,7 @@
 BALANCER = ("10.1.0.1", 7720)
 OTHER_BALANCER = ("10.1.0.2", 7720)
 TARGET_SEQUENCE = 5_000
-SETTLED = 100.0  # a time at which a balancer that started at 0 has settled
+SETTLED = 100.0  # a time at which a balancer that started at 0 has converged
 
 
 def packet(
@@ -39,7 +39,7 @@
     returned: bool = False,
     failure: bool = False,
 ) -> Packet:
-    """Return a caller's packet of the flow with that number."""
+    """Return a caller's packet of the flow with this number."""
     flow = number.to_bytes(12, "big")
     return Packet(
         raw=flow + bytes(size),
@@ -59,7 +59,7 @@
 
 
 def answer(number: int = 1, **fields) -> Packet:
-    """Return a target's packet of the flow with that number."""
+    """Return a target's packet of the flow with this number."""
     return packet(number, **{"sequence": TARGET_SEQUENCE} | fields)
 
 
@@ -92,7 +92,7 @@
 
 
 class SteeringRig:
-    """One balancer's steering with targets ``maps-1`` and on."""
+    """The packet steering of one balancer, with targets ``maps-1`` and up."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
             self.learn(record(f"maps-{number}", host=number))
 
     def configure(self, *, version: int, service: str = "maps") -> None:
-        """Put a configuration with one route in force."""
+        """Apply a configuration with one route."""
         route = PacketRoute(service=service, aim_seconds=0.2, timeout_seconds=3.0)
         self.membership.configure(
             Configuration(version=version, routes_by_address={SERVICE: route})
@@ -126,12 +126,12 @@
         self.steering.configured()
 
     def learn(self, target: TargetRecord, *, now: float = 0.0) -> None:
-        """Make a target known that serves."""
+        """Add a target that serves to the balancer's table."""
         self.membership.table.learn(target, now=now)
         self.report(target.name, now=now)
 
     def report(self, name: str, *, now: float = 0.0, **load) -> None:
-        """Take a load report from a target's agent."""
+        """Record a load report of a target's agent."""
         entry = self.membership.table.candidates_of("maps", now=now)
         number = max((c.load.number for c in entry if c.record.name == name), default=0)
         fields = {"number": number + 1, "condition": Condition.SERVING} | load
@@ -139,11 +139,11 @@
 
     @property
     def known_endpoints(self) -> set[tuple[str, int]]:
-        """The addresses of all agents that are known."""
+        """The addresses of all agents in the table."""
         return {(r.ip, r.port) for r in self.membership.table.records}
 
     def reached(self, actions: list) -> set[tuple[str, int]]:
-        """Return the agents that get a packet, straight or by way of another."""
+        """Return the agents that get a packet, directly or relayed."""
         found = {action.endpoint for action in actions}
         for action in actions:
             if isinstance(action.frame, PassOn):
@@ -151,7 +151,7 @@
         return found
 
     def caller(self, sent: Packet, *, now: float = SETTLED) -> list:
-        """Return what a caller's packet leads to."""
+        """Return the actions for a caller's packet."""
         return self.steering.from_caller(sent, now=now, draw=self.draw)
 
     def agent(
@@ -162,13 +162,13 @@
         now: float = SETTLED,
         sender: tuple[str, int] = ("10.2.0.2", 7720),
     ) -> list:
-        """Return what a frame of another process leads to."""
+        """Return the actions for a frame of another process."""
         return self.steering.from_process(
             frame, sent, sender=sender, now=now, draw=self.draw
         )
 
     def names(self, actions: list) -> list[str]:
-        """Return the targets that packets are carried to, sorted."""
+        """Return the sorted names of the targets that packets are sent to."""
         names_by_endpoint = {
             (r.ip, r.port): r.name for r in self.membership.table.records
         }
@@ -190,7 +190,7 @@
 
 
 def holder(*, slots: int = 2, is_first: bool = True) -> PacketHolder:
-    """Return the holder of a target that serves."""
+    """Return the packet logic of an agent whose target serves."""
     made = PacketHolder(
         name="maps-1", service="maps", slots=slots, connections=100, log=LOG
     )
@@ -202,18 +202,18 @@
 def carry(
     sent: Packet, *, service: str = "maps", tried=("maps-1",), asks: bool = False
 ) -> Carry:
-    """Return the frame in which a balancer brings a packet."""
+    """Return the frame in which a balancer forwards a packet."""
     return Carry(
         service=service, payload=sent.raw, tried=tried if sent.is_syn else (), asks=asks
     )
 
 
 def frames(actions: list, kind: type) -> list:
-    """Return the frames of one kind among the actions."""
+    """Return the frames of one type among the actions."""
     found = [getattr(action, "frame", None) for action in actions]
     return [frame for frame in found if isinstance(frame, kind)]
 
 
 def replace(struct, **fields):
-    """Return a copy of a message with other fields."""
+    """Return a copy of a message with some fields replaced."""
     return msgspec.structs.replace(struct, **fields)
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -1,11 +1,11 @@
-"""SYNs that wait at an agent for a slot, and callers that come back."""
+"""Tests of SYNs that wait at an agent, and of callers that return."""
 
 import unittest
 
 from monsoonpier.agent.packets.expectation import (
-    MAX_SECONDS,
-    MIN_SECONDS,
-    Expectations,
+    MAX_TIMEOUT_SECONDS,
+    MIN_TIMEOUT_SECONDS,
+    ExpectedPackets,
 )
 from monsoonpier.balancer.packets.returning import RETURN_SECONDS, ReturningCallers
 from monsoonpier.model.target import Condition
@@ -68,14 +68,14 @@
         return [packet(number).flow for number in range(3, 20)]
 
     def test_delivered_when_a_slot_comes_free(self) -> None:
-        """A SYN waits, its balancer knows, and the next free slot is its."""
+        """A queued SYN's balancer is notified, and the next free slot is for it."""
         queued = self.bring(3, now=1.01)
         self.assertEqual(len(frames(queued, Queued)), 1)
         self.assertEqual(frames(queued, Queued)[0].load.queued, 1)
         self.assertEqual(self.delivered(self.finish(1, now=1.05)), [packet(3).flow])
 
     def test_evacuated(self) -> None:
-        """An agent of an evacuated place turns new flows away, whoever sends them."""
+        """An agent of an evacuated data centre rejects new flows of any balancer."""
         self.bring(3, now=1.01)
         self.holder.is_evacuated = True
         for actions in (
@@ -84,7 +84,7 @@
         ):
             (turned,) = frames(actions, Turned)
             self.assertEqual(turned.reason, "data centre evacuated")
-            # A balancer that hasn't heard of the order learns from the load.
+            # The load informs a balancer that hasn't received the order.
             self.assertIs(turned.load.condition, Condition.SHEDDING)
         sent = packet(1, size=10, sequence=2_000)
         carried = Carry(service="maps", payload=sent.raw)
@@ -92,7 +92,7 @@
         self.assertEqual([action.raw for action in kept], [sent.raw])
 
     def test_no_longer_evacuated(self) -> None:
-        """After the order is taken back new flows wait and are delivered again."""
+        """After the order is revoked, new flows wait and are delivered again."""
         self.holder.is_evacuated = True
         self.bring(3, now=1.01)
         self.holder.is_evacuated = False
@@ -101,13 +101,13 @@
         self.assertIs(self.holder.load(now=1.06).condition, Condition.SERVING)
 
     def test_in_time_before_late_of_any_balancer(self) -> None:
-        """Whoever sent it: the one that can still be in time goes first."""
+        """A flow that can be answered in time goes first, whoever sent it."""
         self.bring(3, now=1.01, in_time_ms=0)
         self.bring(4, now=1.02, sender=OTHER_BALANCER)
         self.assertEqual(self.delivered(self.finish(1, now=1.05)), [packet(4).flow])
 
     def test_late_one_makes_room(self) -> None:
-        """A full queue sends a late one back for one in time, not this one."""
+        """A full queue rejects a late flow to make room for one in time."""
         self.bring(3, now=1.01, in_time_ms=0)
         self.bring(4, now=1.01)
         actions = self.bring(5, now=1.02, sender=OTHER_BALANCER)
@@ -116,7 +116,7 @@
         self.assertEqual(len(frames(actions, Queued)), 1)
 
     def test_full_of_equals(self) -> None:
-        """One more is turned away at once, with the load."""
+        """A SYN that finds the queue full of equals is rejected with the load."""
         self.bring(3, now=1.01)
         self.bring(4, now=1.02)
         actions = self.bring(5, now=1.03)
@@ -125,7 +125,7 @@
         self.assertEqual(turned.load.queued, 2)
 
     def test_copy_of_a_queued_syn(self) -> None:
-        """A copy takes no second place; its balancer hears where the flow waits."""
+        """A retransmission takes no second place; its balancer is told it is queued."""
         self.bring(3, now=1.01)
         actions = self.bring(3, now=1.21)
         self.assertEqual(len(frames(actions, Queued)), 1)
@@ -136,14 +136,14 @@
         self.assertEqual(self.delivered(self.finish(2, now=1.31)), [])
 
     def test_sent_back_before_the_caller_gives_up(self) -> None:
-        """One that no slot came free for is sent back when its time is over."""
+        """A SYN for which no slot came free is rejected when its wait is over."""
         self.bring(3, now=1.01, wait_ms=300)
         self.assertEqual(self.holder.tick(now=1.2), [])
         (turned,) = frames(self.holder.tick(now=1.32), Turned)
         self.assertEqual(turned.reason, "no slot came free")
 
     def test_leaving_target(self) -> None:
-        """A target that leaves takes none of those that wait."""
+        """A leaving target takes none of the queued SYNs."""
         self.bring(3, now=1.01)
         self.holder.condition = Condition.LEAVING
         actions = self.finish(1, now=1.05)
@@ -151,7 +151,7 @@
         self.assertEqual([t.reason for t in frames(actions, Turned)], ["leaving"])
 
     def test_balancer_that_names_no_wait(self) -> None:
-        """A SYN without a time to wait is turned away, as before."""
+        """A SYN without a time to wait is not queued."""
         self.assertEqual(len(frames(self.bring(3, now=1.0, wait_ms=0), Turned)), 1)
 
 
@@ -169,19 +169,19 @@
         return self.rig.names(self.rig.steering.retry(now=now, draw=self.rig.draw))
 
     def test_not_sent_elsewhere(self) -> None:
-        """It isn't placed again while it waits, nor are its copies."""
+        """While it waits, it and its retransmissions go to no other target."""
         self.assertEqual(self.retry(now=SETTLED + 0.2), [])
         copy = replace(packet(syn=True), waited=0.2)
         actions = self.rig.caller(copy, now=SETTLED + 0.2)
         self.assertEqual(self.rig.names(actions), [self.first])
 
     def test_agent_that_says_nothing_more(self) -> None:
-        """After a while its agent may have ended: it goes to another target."""
+        """After a timeout, its agent may have ended, so it goes to another target."""
         self.assertEqual(self.retry(now=SETTLED + 0.1), [])
         self.assertEqual(self.retry(now=SETTLED + 0.75), [self.other])
 
     def test_sent_back(self) -> None:
-        """One that comes back goes to another target at once."""
+        """A SYN that the agent rejects goes to another target at once."""
         sent = packet(syn=True)
         frame = Turned(
             agent=self.first,
@@ -194,24 +194,24 @@
 
 
 class ReturningCallerTests(unittest.TestCase):
-    """Callers that were refused come back as late as they are."""
+    """A rejected caller's next attempt keeps the time of its first one."""
 
     def test_since_it_asked_first(self) -> None:
-        """A refused caller's next flow counts from its first one, once."""
+        """A rejected caller's next flow counts from its first attempt, once."""
         callers = ReturningCallers()
         callers.refused(packet(1), asked_at=1.0, now=2.0)
         self.assertEqual(callers.earlier(packet(2, syn=True), now=2.1).asked_at, 1.0)
         self.assertIsNone(callers.earlier(packet(3, syn=True), now=2.1))
 
     def test_long_ago(self) -> None:
-        """A caller that comes much later asks for something else."""
+        """A caller that returns much later has a new request."""
         callers = ReturningCallers()
         callers.refused(packet(1), asked_at=1.0, now=2.0)
         now = 2.0 + RETURN_SECONDS + 0.1
         self.assertIsNone(callers.earlier(packet(2, syn=True), now=now))
 
     def test_bounded(self) -> None:
-        """The callers refused longest ago are forgotten first."""
+        """The callers rejected longest ago are forgotten first."""
         callers = ReturningCallers(most=2)
         for number in range(3):
             sent = replace(packet(number), caller_ip=f"100.64.0.{number}")
@@ -220,7 +220,7 @@
         self.assertIsNone(callers.earlier(first, now=2.0))
 
     def test_goes_after_those_in_time(self) -> None:
-        """Of two that wait, the one that was refused before is placed last."""
+        """Of two waiting flows, the one that was rejected before is placed last."""
         rig = SteeringRig(targets=1)
         full = {"in_flight": 2, "queued": 1}
         rig.report("maps-1", now=SETTLED, **full)
@@ -241,28 +241,28 @@
     """How long a slot is kept for a caller that may have given up."""
 
     def test_learnt_from_callers(self) -> None:
-        """Callers that answer at once shorten it, within bounds."""
-        expectations = Expectations()
-        self.assertEqual(expectations.seconds, MAX_SECONDS)
+        """The timeout follows the response times of callers, within bounds."""
+        expected = ExpectedPackets()
+        self.assertEqual(expected.timeout_seconds, MAX_TIMEOUT_SECONDS)
         for _ in range(50):
-            expectations.answered(0.006)
-        self.assertEqual(expectations.seconds, MIN_SECONDS)
+            expected.record_response_time(0.006)
+        self.assertEqual(expected.timeout_seconds, MIN_TIMEOUT_SECONDS)
         for _ in range(50):
-            expectations.answered(0.9)
-        self.assertEqual(expectations.seconds, MAX_SECONDS)
+            expected.record_response_time(0.9)
+        self.assertEqual(expected.timeout_seconds, MAX_TIMEOUT_SECONDS)
 
     def test_slot_of_a_silent_caller(self) -> None:
-        """The next flow gets the slot, long before the next tick."""
+        """The slot of a silent caller goes to the next flow before the next tick."""
         held = holder(slots=1)
         for number, now in ((1, 1.0), (2, 1.01)):
             sent = packet(number, syn=True)
             frame = syn_frame(sent)
             held.from_balancer(frame, sent, sender=BALANCER, now=now)
         for _ in range(50):
-            held._admission.answered(0.006)
+            held._admission.record_response_time(0.006)
         self.assertTrue(held.is_waiting)
-        self.assertEqual(held.expire(now=1.0 + MIN_SECONDS / 2), [])
-        (delivered,) = held.expire(now=1.0 + MIN_SECONDS + 0.001)
+        self.assertEqual(held.expire(now=1.0 + MIN_TIMEOUT_SECONDS / 2), [])
+        (delivered,) = held.expire(now=1.0 + MIN_TIMEOUT_SECONDS + 0.001)
         self.assertEqual(delivered.raw, packet(2, syn=True).raw)
 
 
@@ -270,7 +270,7 @@
     """SYNs whose handshake passes while the slot is still taken."""
 
     def _holder(self, *, run: float, handshake: float):
-        """Return a holder of one slot that has learned both times and runs again."""
+        """Return an agent's logic with one slot, both times known, during a run."""
         made = holder(slots=1)
         now = 1.0
         for number in (1, 2):
@@ -292,21 +292,18 @@
         return sent.raw in [getattr(action, "raw", b"") for action in actions]
 
     def test_short_runs(self) -> None:
-        """One SYN, and no more, is delivered during a run that is soon over."""
+        """Exactly one SYN is delivered early during a short run."""
         made, now = self._holder(run=0.016, handshake=0.008)
         self.assertTrue(self._delivered(made, 3, now=now + 0.001))
         self.assertFalse(self._delivered(made, 4, now=now + 0.002))
 
     def test_long_runs(self) -> None:
-        """Where a handshake is nothing against a run, SYNs wait in their order."""
+        """Where a handshake is short compared to a run, SYNs wait in the queue."""
         made, now = self._holder(run=0.2, handshake=0.008)
         self.assertFalse(self._delivered(made, 3, now=now + 0.001))
 
     def test_nearly_full(self) -> None:
-        """Nine slots in ten in use, callers 3 ms away: nearly all are in time.
-
-        With slots that stood empty during each handshake 0.92 were.
-        """
+        """With nine in ten slots in use, nearly all answers are in time."""
         world = World(
             targets=23,
             slots=1,
--- a/tests/packets/test_agent_process.py
+++ b/tests/packets/test_agent_process.py
@@ -1,4 +1,4 @@
-"""An agent's process and what its target says of itself, without sockets."""
+"""Tests of an agent's process and its target's messages, without sockets."""
 
 import asyncio
 import random
@@ -65,7 +65,7 @@
 
 
 class TargetsWordTests(unittest.IsolatedAsyncioTestCase):
-    """Heartbeats and the farewell."""
+    """Heartbeats, the leave notice, and targets that are absent."""
 
     def setUp(self) -> None:
         random.seed(1)
@@ -73,10 +73,9 @@
         self.holder = self.process._holder
 
     async def test_farewell_is_not_yet_the_end(self) -> None:
-        """Flows last until the VM is given up: the target may run on till then.
+        """Flows stay open after the leave notice until the VM is stopped.
 
-        Broken on pacifico-pier-grown, trouble-1: a target that had said farewell
-        no longer listened, and still held its flows.
+        The target may have stopped listening and still own them.
         """
         self.process.take(heartbeat())
         self.process.take(farewell("i-1"))
@@ -87,10 +86,10 @@
         self.assertIs(self.holder.condition, Condition.GONE)
 
     async def test_given_up_without_a_target(self) -> None:
-        """An agent that never found a target says that none is left, once sure.
+        """An agent that never found a target announces that, once certain.
 
-        Found on a replay: VMs whose targets had left started again after a loss of
-        power and were given up 0.8 s later; no dead flow got its verdict after that.
+        Otherwise balancers get no reply on flows that its target may have
+        owned.
         """
         now = time.monotonic()
         self.holder.absent(now=now)
@@ -104,7 +103,7 @@
         self.assertIs(self.holder.condition, Condition.GONE)
 
     async def test_given_up_before_it_looked(self) -> None:
-        """An agent that is stopped before its first look waits until it knows."""
+        """An agent that is stopped before its first check waits for certainty."""
         self.process._life.step("terminate")
         leaving = asyncio.create_task(self.process._leave_and_finish())
         await asyncio.sleep(0.05)
@@ -115,7 +114,7 @@
         self.assertIs(self.holder.condition, Condition.GONE)
 
     async def test_absence_is_announced(self) -> None:
-        """Balancers are told unasked that no target was found, until one comes."""
+        """Balancers are told that no target was found, until one starts."""
         self.process._target_absent()
         self.assertTrue(self.process._link.record.is_absent)
         change = self.process._link.record.change
@@ -125,7 +124,7 @@
         self.assertFalse(self.process._link.record.is_absent)
 
     async def test_given_up_while_the_target_is_not_reached(self) -> None:
-        """A stop ends in time, though the target's address refuses nothing more."""
+        """An agent stops in time although the target's address doesn't answer."""
         self.holder.absent(now=time.monotonic())
         self.process._life.step("terminate")
         with mock.patch.object(agent_process, "MAX_ABSENT_SECONDS", 0.1):
@@ -133,7 +132,7 @@
         self.assertIs(self.holder.condition, Condition.SHEDDING)
 
     async def test_given_up_while_a_target_comes(self) -> None:
-        """One that turns up in the meantime may live on without the agent."""
+        """A target that appears in the meantime may keep running."""
         self.holder.absent(now=time.monotonic())
         self.process._life.step("terminate")
         leaving = asyncio.create_task(self.process._leave_and_finish())
@@ -143,10 +142,9 @@
         self.assertIs(self.holder.condition, Condition.SHEDDING)
 
     async def test_lost_farewell(self) -> None:
-        """A draining target that no longer listens may still hold its flows.
+        """A draining target that no longer listens may still own its flows.
 
-        Broken on pacifico-pier-grown, trouble-1 (run 4c1b8d43): 0.2 s after a
-        farewell whose call had failed, two uploads were reset.
+        Its leave notice may be lost, so its flows must not be reset.
         """
         self.process.take(heartbeat())
         self.process.take(heartbeat(is_draining=True, sequence=2))
@@ -159,33 +157,33 @@
         self.assertIs(self.holder.condition, Condition.SERVING)
 
     async def test_draining(self) -> None:
-        """A target that drains takes no new flow from that moment."""
+        """A draining target takes no new flows."""
         self.process.take(heartbeat())
         self.process.take(heartbeat(is_draining=True, sequence=2))
         self.assertIs(self.holder.condition, Condition.LEAVING)
 
     async def test_late_heartbeat(self) -> None:
-        """An older heartbeat of the same run changes nothing."""
+        """An older heartbeat of the same instance changes nothing."""
         self.process.take(heartbeat(is_draining=True, sequence=5))
         self.assertTrue(self.process.take(heartbeat(sequence=4)))
         self.assertIs(self.holder.condition, Condition.LEAVING)
 
     async def test_late_heartbeat_of_an_earlier_run(self) -> None:
-        """A run whose place was taken doesn't come back by a late heartbeat."""
+        """A delayed heartbeat doesn't bring back an instance that was replaced."""
         self.process.take(heartbeat())
         self.process.take(heartbeat(instance="i-2"))
         self.assertTrue(self.process.take(heartbeat(sequence=9)))
         self.assertEqual(self.holder.instance, b"i-2")
 
     async def test_farewell_of_an_earlier_run(self) -> None:
-        """A late farewell doesn't end the run that has taken its place."""
+        """A delayed leave notice doesn't end the instance that followed."""
         self.process.take(heartbeat())
         self.process.take(heartbeat(instance="i-2"))
         self.process.take(farewell("i-1"))
         self.assertIs(self.holder.condition, Condition.SERVING)
 
     async def test_crash_and_new_run(self) -> None:
-        """A crashed target serves again when its next run announces itself."""
+        """A crashed target serves again with the heartbeat of its next instance."""
         self.process.take(heartbeat())
         self.process._target_gone()
         self.assertIs(self.holder.condition, Condition.UNRESPONSIVE)
@@ -196,7 +194,7 @@
 
 
 class RebornTargetTests(unittest.IsolatedAsyncioTestCase):
-    """A target that starts again under the identity that it had."""
+    """A target that restarts under the same identity."""
 
     def setUp(self) -> None:
         self.process = process()
@@ -206,14 +204,14 @@
         self.assertTrue(self.process.take(heartbeat(**fields)))
 
     async def test_counts_start_anew(self) -> None:
-        """The first heartbeat of the new run is taken, though its count is low."""
+        """A new instance's first heartbeat is accepted despite its low sequence."""
         self.hear(born=1_000, sequence=70, is_draining=True)
         self.hear(born=9_000, sequence=1)
         self.assertIs(self.holder.condition, Condition.SERVING)
         self.assertEqual(self.holder.instance, b"i-1@9000")
 
     async def test_late_heartbeat_of_the_run_before(self) -> None:
-        """A higher count doesn't bring the earlier run back, seen or unseen."""
+        """A higher sequence doesn't bring the earlier instance back."""
         self.hear(born=9_000, sequence=1)
         self.hear(born=1_000, sequence=70, is_draining=True)
         self.assertIs(self.holder.condition, Condition.SERVING)
@@ -222,7 +220,7 @@
         self.assertIs(self.holder.condition, Condition.SERVING)
 
     async def test_flows_of_the_run_before_are_dead(self) -> None:
-        """Callers of flows that the earlier run held are reset at once."""
+        """The callers of the earlier instance's flows are reset at once."""
         self.hear(born=1_000, sequence=70)
         ended: list = []
         self.holder.ended = lambda *, now: ended.append(now) or []
@@ -230,7 +228,7 @@
         self.assertEqual(len(ended), 1)
 
     async def test_clock_set_back_between_two_runs(self) -> None:
-        """A run that looks older is served when it goes on speaking."""
+        """An instance that looks older is served after a second heartbeat."""
         self.hear(born=9_000, sequence=70)
         self.hear(born=1_000, sequence=1)
         self.assertEqual(self.holder.instance, b"i-1@9000")
@@ -240,14 +238,14 @@
         self.assertEqual(self.holder.instance, b"i-1@1000")
 
     async def test_clock_set_back_after_an_end_that_was_seen(self) -> None:
-        """Where the earlier run is known to have ended one heartbeat is enough."""
+        """One heartbeat is enough if the earlier instance is known to have ended."""
         self.hear(born=9_000, sequence=70)
         self.process._target_gone()
         self.hear(born=1_000, sequence=1)
         self.assertIs(self.holder.condition, Condition.SERVING)
 
     async def test_farewell_of_the_run_before(self) -> None:
-        """A late farewell doesn't take the new run out of use."""
+        """A delayed leave notice doesn't affect the new instance."""
         self.hear(born=1_000, sequence=70)
         self.hear(born=9_000, sequence=1)
         self.process.take(farewell("i-1", born=1_000))
@@ -257,9 +255,9 @@
         self.assertIs(self.holder.condition, Condition.LEAVING)
 
     async def test_failures_of_the_run_before(self) -> None:
-        """Requests that the earlier run failed don't count against the new one.
+        """Failures of the earlier instance don't count against the new one.
 
-        Only an end that nobody had planned does, for targets that go up and down.
+        Only an unplanned end does.
         """
         self.hear(born=1_000, sequence=70, is_draining=True)
         load = self.holder.target_load
@@ -269,7 +267,7 @@
         self.assertEqual(load.failed_percent(now=0.1), 0)
 
     async def test_without_birth(self) -> None:
-        """A target that tells no birth is served by its identity alone."""
+        """Without a start time, instances differ by identity alone."""
         self.hear(sequence=5)
         self.hear(instance="i-2", sequence=1)
         self.assertEqual(self.holder.instance, b"i-2")
--- a/tests/packets/test_cold.py
+++ b/tests/packets/test_cold.py
@@ -1,11 +1,11 @@
-"""Cold targets: what they take in any second, whoever sends it."""
+"""Tests of the limit of new flows for cold targets."""
 
 import random
 import unittest
 
 import msgspec
 
-from monsoonpier.agent.packets.cold import ColdLimit
+from monsoonpier.agent.packets.cold import ColdStartLimit
 from monsoonpier.model.service import Configuration
 from monsoonpier.platform.configuration import PLATFORM_FORMAT
 from monsoonpier.wire.frames import Announce, Carry, Turned
@@ -25,12 +25,12 @@
 
 
 class ColdLimitTests(unittest.TestCase):
-    """One target of 100 slots that bears ten new flows a second."""
+    """A cold target of 100 slots that may get ten new flows a second."""
 
     def setUp(self) -> None:
         self.holder = holder(slots=100)
         self.holder.target_load.cold.per_second = PER_SECOND
-        self.holder.target_load.is_cold_until(1.0 + COLD_SECONDS)
+        self.holder.target_load.set_cold_until(1.0 + COLD_SECONDS)
         self.taken: list[float] = []
         self.number = 0
 
@@ -54,18 +54,18 @@
         )
 
     def test_any_second(self) -> None:
-        """Fifty bursts of a hundred callers, each in a millisecond: ten a second."""
+        """No second of many bursts of callers has more new flows than the limit."""
         draw = random.Random(3)
         for burst in range(50):
             now = 1.0 + burst * 0.09 + draw.random() * 0.05
             for call in range(100):
                 self.bring(now=now + call / 100_000)
         self.assertLessEqual(self.most_in_a_second(), PER_SECOND)
-        # What it bears it gets: a limit isn't a ban.
+        # The limit is also used up.
         self.assertGreaterEqual(len(self.taken), 0.8 * PER_SECOND * 4)
 
     def test_waits_beside_the_target(self) -> None:
-        """A flow that can wait is delivered as soon as the target bears it."""
+        """A flow that can wait is delivered as soon as the limit allows it."""
         for _ in range(10):
             self.bring(now=1.0)
         self.bring(now=1.2, wait_ms=1_000)
@@ -74,7 +74,7 @@
         self.assertEqual(len(self.taken), 11)
 
     def test_balancers_know(self) -> None:
-        """One that is turned away learns that nothing more is taken now."""
+        """A rejected SYN's load report keeps the balancer from sending more."""
         for _ in range(10):
             self.bring(now=1.0)
         (turned,) = frames(self.bring(now=1.1), Turned)
@@ -83,18 +83,18 @@
         self.assertGreater(turned.load.in_flight, 100)
 
     def test_warm(self) -> None:
-        """A warm target takes what its slots allow, and so does one without limit."""
+        """Targets that are warm or have no limit take what their slots allow."""
         for number in range(50):
             self.bring(now=1.0 + COLD_SECONDS + number / 1_000)
         self.assertEqual(len(self.taken), 50)
-        unlimited = ColdLimit()
+        unlimited = ColdStartLimit()
         unlimited.until = 9.0
         for _ in range(50):
             self.assertTrue(unlimited.allows(now=1.0))
-            unlimited.took(now=1.0)
+            unlimited.record(now=1.0)
 
     def test_open_flows_go_on(self) -> None:
-        """Packets of a flow that is open are no new ones."""
+        """Packets of open flows do not count against the limit."""
         self.bring(now=1.0)
         self.holder.from_target(answer(1, syn=True), now=1.0)
         for _ in range(9):
@@ -106,7 +106,7 @@
 
 
 class LimitsWayTests(unittest.TestCase):
-    """How the configuration's limit reaches an agent."""
+    """How the configured limit reaches an agent."""
 
     def _configuration(self, cold_per_s: float) -> Configuration:
         body = {
@@ -117,7 +117,7 @@
         return PLATFORM_FORMAT.decode(msgspec.json.encode(body))
 
     def test_from_the_operator(self) -> None:
-        """A service's limit is read; nought is none, and less is no configuration."""
+        """A service's limit is read; 0 means none, and negative values are invalid."""
         limits = self._configuration(7.5).cold_per_second_by_service
         self.assertEqual(limits, {"maps": 7.5})
         self.assertEqual(self._configuration(0.0).cold_per_second_by_service, {})
@@ -125,7 +125,7 @@
             self._configuration(-1.0)
 
     def test_with_acknowledgements(self) -> None:
-        """Balancers tell the limit with each acknowledgement of a heartbeat."""
+        """Balancers send the limit with each acknowledgement of a heartbeat."""
         rig = SteeringRig(targets=0)
         rig.membership.configure(self._configuration(7.5))
         announce = Announce(record=record("maps-1", host=1))
--- a/tests/packets/test_evidence.py
+++ b/tests/packets/test_evidence.py
@@ -1,11 +1,11 @@
-"""Targets that fail requests: judged by what comes back, used less, tried again."""
+"""Tests of failure rates: how they are computed, and how balancers use them."""
 
 import unittest
 from dataclasses import replace as changed
 from unittest import mock
 
 from bench.packet_placement import WORLDS_BY_NAME, simulate
-from monsoonpier.agent.packets.evidence import FailureShare
+from monsoonpier.agent.packets.evidence import FailureRate
 from monsoonpier.balancer.packets.placement import reliable
 from monsoonpier.model.target import Condition
 from monsoonpier.platform.packets import PlatformPackets
@@ -27,29 +27,29 @@
     """What an agent concludes from answers."""
 
     def test_one_failure_is_little_evidence(self) -> None:
-        """A single failed request convicts nobody."""
-        share = FailureShare()
+        """A single failed request gives a low rate."""
+        share = FailureRate()
         share.count(is_failure=True, now=1.0)
         self.assertLess(share.value(now=1.0), 0.5)
 
     def test_fades(self) -> None:
-        """Without evidence a target comes to be tried again."""
-        share = FailureShare()
+        """The rate decays without new results."""
+        share = FailureRate()
         for number in range(20):
             share.count(is_failure=True, now=number / 10)
         self.assertGreater(share.value(now=2.0), 0.8)
         self.assertLess(share.value(now=30.0), 0.1)
 
     def test_part_of_the_requests(self) -> None:
-        """The share is that of the requests that failed."""
-        share = FailureShare()
+        """The rate is the share of requests that failed."""
+        share = FailureRate()
         for number in range(100):
             share.count(is_failure=number % 10 < 4, now=5.0)
         self.assertAlmostEqual(share.value(now=5.0), 0.4, delta=0.03)
 
 
 class HolderEvidenceTests(unittest.TestCase):
-    """What counts as a failure."""
+    """Which events count as failures."""
 
     def setUp(self) -> None:
         self.holder = holder()
@@ -67,7 +67,7 @@
         return self.holder.load(now=now).failed_percent
 
     def test_answers_that_say_so(self) -> None:
-        """An answer that tells of a failure counts, a good one doesn't."""
+        """An answer that reports a failure counts, a good one doesn't."""
         self.ask(1, now=1.0)
         self.holder.from_target(answer(1, size=50), now=1.05)
         self.assertEqual(self.failed(now=1.05), 0)
@@ -76,13 +76,13 @@
         self.assertGreater(self.failed(now=1.1), 20)
 
     def test_change_is_logged_and_told(self) -> None:
-        """A line and a report say that a target has begun to fail."""
+        """A rising rate is logged and reported to balancers."""
         self.ask(1, now=1.0)
         self.holder.load_reports(now=1.0)
         self.holder.from_target(answer(1, size=50, failure=True), now=1.1)
         with mock.patch.object(self.holder._reports._log, "note") as note:
             news = self.holder.load_reports(now=1.1)
-        self.assertEqual(note.call_args.args, ("target fails requests",))
+        self.assertEqual(note.call_args.args, ("target's failure rate rose",))
         self.assertGreater(news[0].frame.load.failed_percent, 20)
 
     def test_failure_says_nothing_of_a_run(self) -> None:
@@ -92,7 +92,7 @@
         self.assertEqual(self.holder.load(now=1.1).service_ms, 0)
 
     def test_no_answer(self) -> None:
-        """A request without a packet for long counts once."""
+        """A request without a packet for too long counts as one failure."""
         self.ask(1, now=1.0)
         self.holder.tick(now=1.9)
         self.assertEqual(self.failed(now=1.9), 0)
@@ -103,13 +103,13 @@
         self.assertLessEqual(self.failed(now=2.2), once)
 
     def test_reset_while_it_works(self) -> None:
-        """A flow that the target resets under a request counts."""
+        """A flow that the target resets during a request counts."""
         self.ask(1, now=1.0)
         self.holder.from_target(answer(1, reset=True), now=1.01)
         self.assertGreater(self.failed(now=1.01), 20)
 
     def test_end_that_nobody_planned(self) -> None:
-        """A target that has ended before may end again; a farewell is no failure."""
+        """An unplanned end of the target counts, a planned one doesn't."""
         self.holder.ended(now=1.0)
         self.assertGreater(self.failed(now=1.0), 50)
         leaving = holder()
@@ -119,7 +119,7 @@
 
 
 class PlatformFailureTests(unittest.TestCase):
-    """The adapter tells failures by the status of an answer."""
+    """The platform's packet codec detects failures by an answer's status."""
 
     def decoded(self, data: bytes, *, from_target: bool = True):
         segment = Segment(
@@ -128,7 +128,7 @@
         return PlatformPackets().decode(segment.encode(), from_target=from_target)
 
     def test_status(self) -> None:
-        """Only an answer's own status of the 5xx kind is a failure."""
+        """Only a 5xx status at the start of a target's answer is a failure."""
         for data, expected in (
             (b"HTTP/1.1 500 Oops\r\n", True),
             (b"HTTP/1.1 503 Busy\r\n", True),
@@ -142,10 +142,10 @@
 
 
 class FailingTargetTests(unittest.TestCase):
-    """A balancer's use of the evidence."""
+    """A balancer's use of failure rates."""
 
     def test_left_out(self) -> None:
-        """New flows wait for a sound target in place of going to a failing one."""
+        """New flows wait for a healthy target rather than go to a failing one."""
         rig = SteeringRig(targets=3)
         rig.report("maps-1", now=SETTLED, failed_percent=80)
         for name in ("maps-2", "maps-3"):
@@ -154,7 +154,7 @@
         self.assertTrue(rig.steering.is_waiting)
 
     def test_a_quarter_at_the_most(self) -> None:
-        """When many fail, all but the worst quarter are used."""
+        """When many targets fail, only the worst quarter is excluded."""
         rig = SteeringRig(targets=8)
         for number in range(1, 9):
             rig.report(f"maps-{number}", now=SETTLED, failed_percent=40 + number)
@@ -163,7 +163,7 @@
         self.assertEqual(names, {f"maps-{n}" for n in range(1, 7)})
 
     def test_forgiven(self) -> None:
-        """A balancer that hears nothing more tries the target again."""
+        """A balancer without new reports tries the target again."""
         rig = SteeringRig(targets=1)
         rig.report("maps-1", now=SETTLED, failed_percent=80)
         table = rig.membership.table
@@ -172,14 +172,14 @@
 
 
 class FailingWorldTests(unittest.TestCase):
-    """The loads that the judgement answers, replayed in simulated time."""
+    """Simulations with failing targets."""
 
     def outcomes(self, name: str, policy: str) -> list:
         world = WORLDS_BY_NAME[name]
         return [simulate(changed(world, seed=seed), policy) for seed in SEEDS]
 
     def test_fails_all(self) -> None:
-        """One of seven that fails at once costs a fifth of the requests it did."""
+        """A target that fails everything at once gets few requests."""
         with_it = self.outcomes("one fails all", "product")
         without = self.outcomes("one fails all", "product without evidence")
         for sound, blind in zip(with_it, without, strict=True):
@@ -187,7 +187,7 @@
             self.assertGreater(sound.served, 0.998)
 
     def test_fails_a_part(self) -> None:
-        """One of seven that fails four in ten costs less than half as many."""
+        """A target that fails part of its requests gets fewer of them."""
         with_it = self.outcomes("one fails 4 of 10", "product")
         without = self.outcomes("one fails 4 of 10", "product without evidence")
         for sound, blind in zip(with_it, without, strict=True):
--- a/tests/packets/test_holder.py
+++ b/tests/packets/test_holder.py
@@ -1,4 +1,4 @@
-"""An agent's decisions on flows without a token."""
+"""Tests of an agent's packet logic."""
 
 import unittest
 
@@ -32,12 +32,12 @@
 
 
 def restarted() -> PacketHolder:
-    """Return the holder of an agent that started beside a running target."""
+    """Return the packet logic of an agent started beside a running target."""
     return holder(is_first=False)
 
 
 class HolderCase(unittest.TestCase):
-    """One agent; packets come from ``BALANCER`` unless said otherwise."""
+    """One agent; packets come from ``BALANCER`` unless specified."""
 
     def setUp(self) -> None:
         self.holder = holder()
@@ -47,17 +47,17 @@
         return self.holder.from_balancer(frame, sent, sender=sender, now=now)
 
     def open(self, number: int = 1, *, now: float = 1.0) -> None:
-        """Open a flow up to the end of its handshake."""
+        """Open a flow with a complete handshake."""
         self.bring(packet(number, syn=True), now=now)
         self.holder.from_target(answer(number, syn=True), now=now)
         self.bring(packet(number), now=now)
 
 
 class OpeningTests(HolderCase):
-    """SYNs, and who holds the flow afterwards."""
+    """SYNs, and who owns the flow afterwards."""
 
     def test_handshake(self) -> None:
-        """A SYN is delivered, its answer passed on, and the balancer told."""
+        """A SYN is delivered, its answer forwarded, and the balancer notified."""
         self.assertEqual(kinds(self.bring(packet(syn=True))), [ToTarget])
         actions = self.holder.from_target(answer(syn=True), now=1.0)
         self.assertIn(ToCallerPacket, kinds(actions))
@@ -67,7 +67,7 @@
         self.assertEqual(delivered(actions), 1)
 
     def test_opened_at_another_target(self) -> None:
-        """A caller that acknowledges another target's answer isn't delivered."""
+        """A packet that acknowledges another target's answer isn't delivered."""
         self.bring(packet(syn=True))
         self.holder.from_target(answer(syn=True), now=1.0)
         for distance in (1 << 20, 1 << 30):
@@ -77,19 +77,19 @@
             self.assertEqual(len(frames(actions, NotHeld)), 1)
 
     def test_packet_before_the_target_has_answered(self) -> None:
-        """A flow that opened elsewhere is denied while the SYN is on its way."""
+        """A flow opened elsewhere is not owned while its SYN is pending."""
         self.bring(packet(syn=True))
         self.assertEqual(delivered(self.bring(packet(size=10))), 0)
 
     def test_leaving_target_turns_away_at_once(self) -> None:
-        """A SYN for a leaving target goes back with a reason."""
+        """A SYN for a leaving target is rejected with a reason."""
         self.holder.condition = Condition.LEAVING
         actions = self.bring(packet(syn=True))
         self.assertEqual([f.reason for f in frames(actions, Turned)], ["leaving"])
         self.assertEqual(delivered(actions), 0)
 
     def test_leaving_target_keeps_its_flows(self) -> None:
-        """Open flows of a leaving target go on."""
+        """Packets of a leaving target's open flows are delivered."""
         self.open()
         self.holder.condition = Condition.LEAVING
         self.assertEqual(delivered(self.bring(packet(size=10))), 1)
@@ -101,14 +101,14 @@
         self.assertEqual(len(frames(actions, Turned)), 1)
 
     def test_target_refuses(self) -> None:
-        """A SYN that the target sends back goes back to the balancer."""
+        """A SYN that the target returns is rejected to the balancer."""
         self.bring(packet(syn=True))
         actions = self.holder.from_target(packet(syn=True, returned=True), now=1.0)
         self.assertEqual(len(frames(actions, Turned)), 1)
         self.assertEqual(self.holder.flows, 0)
 
     def test_full_target_waits_for_one_at_the_most(self) -> None:
-        """Beyond its slots a target gets one SYN, and only after three tries."""
+        """A full target gets at most one more SYN, and only after three rejections."""
         for number in (1, 2):
             self.open(number)
             self.bring(packet(number, size=10))
@@ -124,13 +124,13 @@
     """Packets of open flows and of unknown ones."""
 
     def test_through_any_balancer(self) -> None:
-        """An open flow's packets are delivered whoever brings them."""
+        """An open flow's packets are delivered whichever balancer sends them."""
         self.open()
         sent = packet(size=10)
         self.assertEqual(delivered(self.bring(sent, sender=OTHER_BALANCER)), 1)
 
     def test_open_flow_that_is_asked_for(self) -> None:
-        """A balancer that asks learns that the flow is held here."""
+        """A balancer that asks for a reply learns that the target owns the flow."""
         self.open()
         actions = self.bring(packet(size=10), sender=OTHER_BALANCER, asks=True)
         self.assertEqual(delivered(actions), 1)
@@ -138,7 +138,7 @@
         self.assertEqual(frames(self.bring(packet(size=10)), Held), [])
 
     def test_unknown_flow_is_denied(self) -> None:
-        """An agent that has seen all of its target denies what it doesn't hold."""
+        """An agent that knows all flows of its target reports others as not owned."""
         actions = self.bring(packet(size=10))
         self.assertEqual(len(frames(actions, NotHeld)), 1)
         self.assertEqual(delivered(actions), 0)
@@ -147,13 +147,13 @@
         self.assertEqual(frames(asked, NotHeld)[0].payload, b"")
 
     def test_end_of_a_target_that_only_answered_a_syn(self) -> None:
-        """A flow that may have opened elsewhere is not reset (soak, seed 956440)."""
+        """A flow that may have opened at another target is not reset."""
         self.bring(packet(syn=True))
         self.holder.from_target(answer(syn=True), now=1.0)
         self.assertEqual(self.holder.ended(now=2.0), [])
 
     def test_new_run_of_the_target(self) -> None:
-        """When the target starts anew, callers of its flows are reset at once."""
+        """When a new instance starts, the callers of open flows are reset at once."""
         self.open()
         actions = self.holder.started(b"i-2", is_first=True, now=2.0)
         self.assertEqual(kinds(actions), [ResetFlow])
@@ -163,19 +163,19 @@
 
 
 class RestartedAgentTests(HolderCase):
-    """An agent that has started beside a target that lived on."""
+    """An agent that has started beside a running target."""
 
     def setUp(self) -> None:
         self.holder = restarted()
 
     def test_target_answers(self) -> None:
-        """A flow that the target answers on is held."""
+        """A flow that the target answers on is owned."""
         self.assertEqual(delivered(self.bring(packet(size=10))), 1)
         actions = self.holder.from_target(answer(size=10), now=1.1)
         self.assertEqual([f.is_open for f in frames(actions, Held)], [True])
 
     def test_target_sends_it_back(self) -> None:
-        """A packet that the target sends back is denied to who brought it."""
+        """A probe that the target returns is reported to its sender as not owned."""
         sent = packet(size=10)
         self.bring(sent, sender=OTHER_BALANCER)
         back = packet(size=10, returned=True)
@@ -184,34 +184,34 @@
         self.assertEqual(len(frames(actions, NotHeld)), 1)
 
     def test_target_resets_a_flow_of_another(self) -> None:
-        """A reset for a flow that may be another target's isn't passed on."""
+        """A reset for a flow that another target may own is not forwarded."""
         self.bring(packet(size=10))
         actions = self.holder.from_target(answer(reset=True), now=1.1)
         self.assertNotIn(ToCallerPacket, kinds(actions))
         self.assertEqual(len(frames(actions, NotHeld)), 1)
 
     def test_another_service_is_not_guessed(self) -> None:
-        """A packet of another service is not tried on this target."""
+        """A packet of another service is not probed."""
         actions = self.bring(packet(size=10), service="logs")
         self.assertEqual(delivered(actions), 0)
 
     def test_address_that_the_target_serves(self) -> None:
-        """Without a configuration the target's own packets tell what it serves."""
+        """Without a configuration, the target's own packets show what it serves."""
         self.assertEqual(delivered(self.bring(packet(size=10), service="*")), 0)
         self.holder.from_target(answer(7, size=10), now=1.0)
         self.assertEqual(delivered(self.bring(packet(size=10), service="*")), 1)
 
     def test_packet_that_is_to_be_passed_on(self) -> None:
-        """Other agents get the packet, and whom to answer."""
+        """Other agents get the packet and the balancer to reply to."""
         others = (("10.2.0.2", 7720), ("10.2.0.3", 7720))
         frame = PassOn(service="maps", payload=packet().raw, endpoints=others)
-        actions = self.holder.pass_on(frame, balancer=BALANCER)
+        actions = self.holder.relay(frame, balancer=BALANCER)
         self.assertEqual(tuple(a.endpoint for a in actions), others)
         self.assertEqual({a.frame.reply_to for a in actions}, {BALANCER})
         self.assertTrue(all(a.frame.asks for a in actions))
 
     def test_question(self) -> None:
-        """An agent says what it holds, and whether it can know the rest."""
+        """An agent reports the flows it owns, and whether the answer is conclusive."""
         self.holder.from_target(answer(7, size=10), now=1.0)
         flows = (packet(7).flow, packet(8).flow)
         said = self.holder.answer(
@@ -227,21 +227,21 @@
         self.assertEqual((sure.held, sure.is_sure), ((), True))
 
     def test_question_before_the_target_is_met(self) -> None:
-        """A question waits for the target's heartbeat, but not for long."""
+        """A query waits for the target's first heartbeat, but not for long."""
         question = Whose(question=8, service="maps", flows=(packet().flow,))
         made = PacketHolder(name="m", service="maps", slots=2, connections=9, log=LOG)
         self.assertEqual(made.ask(question, sender=BALANCER, now=1.0), [])
-        self.assertEqual(made.answer_kept(now=1.2), [])
-        late = made.answer_kept(now=1.3)
+        self.assertEqual(made.answer_pending(now=1.2), [])
+        late = made.answer_pending(now=1.3)
         self.assertEqual(frames(late, Holds)[0].run_ms, None)
         self.assertEqual(made.ask(question, sender=BALANCER, now=1.4), [])
         made.started(b"i-1", is_first=False, is_young=True, now=1.5)
-        soon = made.answer_kept(now=1.5)
+        soon = made.answer_pending(now=1.5)
         self.assertEqual(frames(soon, Holds)[0].run_ms, 0)
-        self.assertEqual(made.answer_kept(now=9.0), [])
+        self.assertEqual(made.answer_pending(now=9.0), [])
 
     def test_age_of_the_run(self) -> None:
-        """A run that was young when the agent met it has a beginning, no other."""
+        """An instance that had just started when first seen has a known age."""
         question = Whose(question=7, service="maps", flows=(packet().flow,))
         self.assertIsNone(self.holder.answer(question, now=3.0).run_ms)
         young = holder(is_first=False)
@@ -253,7 +253,10 @@
         self.assertEqual((said.run_ms, said.is_sure), (500, False))
 
     def test_question_for_a_flow_that_is_just_opening(self) -> None:
-        """The packet that opens a flow may come through another balancer."""
+        """A flow is owned once its SYN is answered.
+
+        The packet that opens it may come through another balancer.
+        """
         made = holder()
         self.holder = made
         self.bring(packet(syn=True))
@@ -265,7 +268,7 @@
 
 
 class AbsentTargetTests(unittest.TestCase):
-    """An agent on a VM whose target has left before the VM started again."""
+    """An agent on a VM whose target had left before the VM started again."""
 
     def setUp(self) -> None:
         self.holder = PacketHolder(
@@ -278,13 +281,13 @@
         return self.holder.answer(question, now=now)
 
     def test_says_so(self) -> None:
-        """It can't be sure at first, and says that nobody listens."""
+        """Its replies are inconclusive at first, and report that nothing listens."""
         answered = self.answer(now=1.3)
         self.assertTrue(answered.is_absent)
         self.assertFalse(answered.is_sure)
 
     def test_sure_after_a_while(self) -> None:
-        """A target that was leaving has ended after some heartbeats' time."""
+        """After `ABSENT_SECONDS` a target that was leaving has certainly ended."""
         self.holder.absent(now=1.0 + ABSENT_SECONDS)
         self.assertTrue(self.answer(now=1.0 + ABSENT_SECONDS).is_sure)
         question = Whose(question=1, service="maps", flows=(packet().flow,))
@@ -292,7 +295,7 @@
         self.assertEqual(len(frames(answered, Holds)), 1)
 
     def test_target_that_comes(self) -> None:
-        """A target that announces itself after all may be older than its agent."""
+        """A target that sends a heartbeat after all may be older than its agent."""
         self.holder.started(b"i-1", is_first=False, now=1.5)
         self.holder.condition = Condition.SERVING
         self.holder.absent(now=9.0)
@@ -302,10 +305,10 @@
 
 
 class LoadTests(HolderCase):
-    """The agent's count of requests under way."""
+    """The agent's count of requests in flight."""
 
     def test_request_and_answer(self) -> None:
-        """A request counts from its first packet until its answer's first."""
+        """A request counts from its first packet to the first packet of its answer."""
         self.open()
         self.holder.tick(now=2.0)
         self.assertEqual(self.holder.busy, 0)
@@ -316,7 +319,7 @@
         self.assertEqual(self.holder.load(now=2.1).service_ms, 50)
 
     def test_time_of_a_run_leaves_out_waiting(self) -> None:
-        """A request that found all slots taken doesn't make runs look long."""
+        """The wait of a request that found all slots taken is not service time."""
         for number in (1, 2, 3):
             self.open(number)
             self.bring(packet(number, size=10), now=2.0)
@@ -325,7 +328,7 @@
         self.assertEqual(self.holder.load(now=2.5).service_ms, 50)
 
     def test_retransmission_after_the_answer(self) -> None:
-        """A late copy of an answered request doesn't count as another."""
+        """A late retransmission of an answered request doesn't count as another."""
         self.open()
         self.bring(packet(size=10), now=2.0)
         self.holder.from_target(answer(size=10), now=2.05)
@@ -335,9 +338,9 @@
         self.assertEqual(self.holder.busy, 1)
 
     def test_caller_that_left_before_its_turn(self) -> None:
-        """No slot is kept for one whose end overtakes its request.
+        """No slot is kept for a caller whose FIN overtakes its request.
 
-        Its target closes without a run, so no answer would give the slot back.
+        The target closes without a run, so no answer would free the slot.
         """
         self.open()
         self.bring(packet(fin=True, sequence=1_010), now=1.01)
@@ -347,7 +350,7 @@
         self.assertEqual(self.holder.load(now=1.1).failed_percent, 0)
 
     def test_target_closes_without_an_answer(self) -> None:
-        """A request that the target gives up holds no slot."""
+        """A request that the target closes without an answer frees its slot."""
         self.open()
         self.bring(packet(size=10), now=1.01)
         self.assertEqual(self.holder.busy, 1)
@@ -355,7 +358,7 @@
         self.assertEqual(self.holder.busy, 0)
 
     def test_end_that_overtakes_the_answer(self) -> None:
-        """A target's end that comes before its answer makes it no failure."""
+        """A target's FIN that overtakes its answer is not a failure."""
         self.open()
         self.bring(packet(size=10), now=1.0)
         end = answer(fin=True, sequence=TARGET_SEQUENCE + 2_001)
@@ -373,7 +376,7 @@
         self.assertEqual(self.holder.busy, 0)
 
     def test_news_for_those_who_place_here(self) -> None:
-        """Balancers that send SYNs are told of changes, each change once."""
+        """Balancers that send SYNs are told of each change of load once."""
         self.open()
         self.bring(packet(syn=True, number=2), sender=OTHER_BALANCER)
         news = self.holder.load_reports(now=1.1)
@@ -382,7 +385,7 @@
         self.assertEqual(self.holder.load_reports(now=1.2), [])
 
     def test_all_is_given_back(self) -> None:
-        """When all flows have ended nothing counts as busy or open."""
+        """When all flows have ended, nothing counts as busy or open."""
         for number in range(20):
             self.open(number, now=1.0)
             self.bring(packet(number, size=10, fin=number % 2 == 0), now=1.0)
--- a/tests/packets/test_load_reports.py
+++ b/tests/packets/test_load_reports.py
@@ -1,4 +1,4 @@
-"""What agents tell balancers of load between new flows, and what it costs."""
+"""Tests of load reports to balancers and of their budget."""
 
 import unittest
 
@@ -28,45 +28,45 @@
         return [report.endpoint for report in found]
 
     def test_told_with_another_frame(self) -> None:
-        """Who has just had the load with an answer isn't told it again."""
+        """A balancer that got the load with another frame isn't told it again."""
         for balancer in (BALANCER, OTHER_BALANCER):
-            self.reports.placed_by(balancer, now=1.0)
+            self.reports.record_placement(balancer, now=1.0)
         self.load.busy = 2
-        self.reports.told(BALANCER, condition=SERVING, now=1.0)
+        self.reports.mark_reported(BALANCER, condition=SERVING, now=1.0)
         self.assertEqual(self.due(now=1.003), [OTHER_BALANCER])
         self.assertEqual(self.due(now=1.006), [])
 
     def test_back_again(self) -> None:
         """A balancer that never knew of a taken slot isn't told that it is free."""
         for balancer in (BALANCER, OTHER_BALANCER):
-            self.reports.placed_by(balancer, now=1.0)
+            self.reports.record_placement(balancer, now=1.0)
         self.due(now=1.0)
         self.load.busy = 2
-        self.reports.told(BALANCER, condition=SERVING, now=1.0)
+        self.reports.mark_reported(BALANCER, condition=SERVING, now=1.0)
         self.load.busy = 0
         self.assertEqual(self.due(now=1.02), [BALANCER])
 
     def test_condition(self) -> None:
-        """That nothing new is taken any more is told at once."""
-        self.reports.placed_by(BALANCER, now=1.0)
+        """A change of the target's condition is reported at once."""
+        self.reports.record_placement(BALANCER, now=1.0)
         self.due(now=1.0)
         found = self.reports.due(condition=Condition.SHEDDING, now=1.01)
         self.assertEqual([r.frame.load.condition for r in found], [Condition.SHEDDING])
 
     def test_forgotten(self) -> None:
-        """Balancers that have placed nothing for a minute are told nothing."""
-        self.reports.placed_by(BALANCER, now=1.0)
-        self.reports.forget(now=70.0)
+        """Balancers that have placed nothing for a minute get no reports."""
+        self.reports.record_placement(BALANCER, now=1.0)
+        self.reports.forget_idle(now=70.0)
         self.assertEqual(self.due(now=70.0), [])
 
     def test_budget(self) -> None:
-        """However often slots change and however many place, reports are bounded."""
+        """The number of reports is bounded, however often the load changes."""
         balancers = [("10.1.0.1", port) for port in range(460)]
         sent = 0
         for step in range(1_000):
             now = step / 100
             for balancer in balancers:
-                self.reports.placed_by(balancer, now=now)
+                self.reports.record_placement(balancer, now=now)
             self.load.busy = 2 * (step % 2)
             sent += len(self.due(now=now))
         most = MAX_REPORTS_AT_ONCE + 10 * MAX_REPORTS_PER_SECOND
@@ -74,17 +74,17 @@
         self.assertGreaterEqual(sent, 10 * MIN_REPORTS_PER_SECOND)
 
     def test_budget_serves_the_latest_first(self) -> None:
-        """Where not all can be told, those that placed last are."""
+        """When not all can be told, the balancers that placed last are."""
         balancers = [("10.1.0.1", port) for port in range(100)]
         for number, balancer in enumerate(balancers):
-            self.reports.placed_by(balancer, now=number / 1_000)
+            self.reports.record_placement(balancer, now=number / 1_000)
         told = self.due(now=0.1)
         self.assertEqual(set(told), set(balancers[-MAX_REPORTS_AT_ONCE:]))
         self.assertEqual(set(self.due(now=1.6)), set(balancers[:-MAX_REPORTS_AT_ONCE]))
 
 
 class ReplayTests(unittest.TestCase):
-    """The load in small: one slot a target, runs of 16 ms, many balancers."""
+    """Simulations with one slot a target, runs of 16 ms and many balancers."""
 
     def _play(self, **fields):
         world = World(
@@ -100,19 +100,13 @@
         return Simulation(world).run()
 
     def test_mostly_idle(self) -> None:
-        """A quarter of the slots in use: all in time, with few reports.
-
-        Told at each change there were 31 reports a request.
-        """
+        """With few slots in use, all answers are in time, with few reports."""
         played = self._play(utilisation=0.27)
         self.assertEqual(played.in_time, 1.0)
         self.assertLess(played.reports / played.requests, 31 / 4)
 
     def test_nearly_full(self) -> None:
-        """Nine slots in ten in use: as many in time as with a report a change.
-
-        Told at each change there were 24 reports a request, and 0.997 in time.
-        """
+        """With most slots in use, nearly all are in time, with few reports."""
         played = self._play(utilisation=0.9)
         self.assertGreater(played.in_time, 0.99)
         self.assertLess(played.reports / played.requests, 24 / 4)
--- a/tests/packets/test_run_times.py
+++ b/tests/packets/test_run_times.py
@@ -1,4 +1,4 @@
-"""How long a target's runs take."""
+"""Tests of the estimated service time."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class RunTimesTests(unittest.TestCase):
-    """A target of one slot that always has one request more than it works on."""
+    """A target of one slot at which one more request always waits."""
 
     RUN_SECONDS = 0.05
 
@@ -32,20 +32,20 @@
             self.number += 1
 
     def test_learnt_while_all_slots_are_taken(self) -> None:
-        """The time at the target counts, not the time that a request waited there."""
+        """The time that a request waited at the target is left out."""
         self.play(runs=40, seconds=self.RUN_SECONDS)
         learnt = self.holder.target_load.run_seconds
         self.assertAlmostEqual(learnt, self.RUN_SECONDS, delta=0.002)
 
     def test_target_that_turns_slow(self) -> None:
-        """A target that turns slow at the worst of load is known to be slow."""
+        """The estimate follows a target that becomes slower under full load."""
         self.play(runs=10, seconds=self.RUN_SECONDS)
         self.play(runs=40, seconds=3 * self.RUN_SECONDS)
         learnt = self.holder.target_load.run_seconds
         self.assertAlmostEqual(learnt, 3 * self.RUN_SECONDS, delta=0.01)
 
     def test_request_without_an_answer(self) -> None:
-        """One whose caller breaks it off doesn't end what is learnt."""
+        """The estimate goes on after a caller has reset its flow."""
         self.play(runs=10, seconds=self.RUN_SECONDS)
         sent = packet(self.number, reset=True)
         self.holder.from_balancer(carry(sent), sent, sender=BALANCER, now=self.now)
@@ -56,7 +56,7 @@
         self.assertAlmostEqual(learnt, 3 * self.RUN_SECONDS, delta=0.01)
 
     def test_failures_say_nothing(self) -> None:
-        """A request that fails at once leaves the time of a run as it was."""
+        """A request that fails at once doesn't change the estimate."""
         self.play(runs=40, seconds=self.RUN_SECONDS)
         failed = answer(self.number, size=50, failure=True)
         self.holder.from_target(failed, now=self.now + 0.001)
--- a/tests/packets/test_slot_use.py
+++ b/tests/packets/test_slot_use.py
@@ -1,8 +1,8 @@
-"""What an agent sums up of its target's slots while all are wanted."""
+"""Tests of the accounting of slot use."""
 
 import unittest
 
-from monsoonpier.agent.packets.slot_use import LINE_SECONDS, SlotUse
+from monsoonpier.agent.packets.slot_use import LOG_INTERVAL_SECONDS, SlotUse
 from monsoonpier.process.exposition import expose
 from monsoonpier.wire.frames import Carry
 from standins.packets.simulation import Simulation, World
@@ -12,7 +12,7 @@
 
 
 class SlotUseTests(unittest.TestCase):
-    """A target of one slot, whose run ends while flows wait at its agent."""
+    """A target of one slot, whose run ends while a flow waits at its agent."""
 
     def setUp(self) -> None:
         self.holder = holder(slots=1)
@@ -36,7 +36,7 @@
         self.holder.from_target(answer(number, size=50), now=now)
 
     def test_handshake_between_two_runs(self) -> None:
-        """The time from one run to the next is seen as kept, idle and a gap."""
+        """The time between two runs counts as kept, as idle and as a gap."""
         self.open_and_ask(2, now=1.105)
         self.finish(2, now=1.205)
         total = self.use.total
@@ -48,7 +48,7 @@
         self.assertAlmostEqual(self.use.gap_seconds.sums[0], 0.005)
 
     def test_caller_that_has_left(self) -> None:
-        """A slot that is kept for nobody while another flow waits is seen as such."""
+        """A slot kept for a silent caller while another flow waits is counted."""
         self.bring(3, syn=True, now=1.1)
         self.holder.from_target(answer(2, syn=True), now=1.1)
         self.holder.expire(now=1.1 + GONE_SECONDS)
@@ -58,7 +58,7 @@
         self.assertAlmostEqual(total.kept_in_vain, GONE_SECONDS)
 
     def test_left_while_the_slot_was_taken(self) -> None:
-        """Who leaves while another runs on the slot has kept it for nothing else."""
+        """A silent caller keeps no slot while another request runs on it."""
         self.open_and_ask(2, now=1.1)
         self.holder.target_load.busy -= 1  # so that one more is delivered
         self.bring(3, syn=True, now=1.1)
@@ -69,7 +69,7 @@
         self.assertEqual((total.silent, total.kept_in_vain), (1, 0.0))
 
     def test_ended_target(self) -> None:
-        """A target that takes no new flows has no slots that could stand empty."""
+        """The slots of a target that takes no new flows are not idle."""
         self.holder.ended(now=1.1)
         self.holder.condition = self.holder.condition.UNRESPONSIVE
         self.holder.tick(now=1.1)
@@ -77,7 +77,7 @@
         self.assertAlmostEqual(self.use.total.idle, 0.0)
 
     def test_metrics(self) -> None:
-        """The metrics address shows the use of the slots and who waits for them."""
+        """The metrics have the use of the slots and the waiting flows."""
         readings = self.holder.target_load.readings
         lines = expose(lambda: readings).decode().splitlines()
         for line in (
@@ -89,18 +89,18 @@
             self.assertIn(line, lines)
 
     def test_lines(self) -> None:
-        """One line in five seconds says what came to it, and an idle target's none."""
-        self.assertIsNone(self.use.line(now=1.0 + LINE_SECONDS - 0.1))
-        used = self.use.line(now=1.0 + LINE_SECONDS)
+        """A summary is due every five seconds, except for an idle target."""
+        self.assertIsNone(self.use.summary_if_due(now=1.0 + LOG_INTERVAL_SECONDS - 0.1))
+        used = self.use.summary_if_due(now=1.0 + LOG_INTERVAL_SECONDS)
         self.assertEqual(used.runs, 1)
-        self.assertIsNone(self.use.line(now=1.0 + 2 * LINE_SECONDS))
+        self.assertIsNone(self.use.summary_if_due(now=1.0 + 2 * LOG_INTERVAL_SECONDS))
 
 
 class SaturationTests(unittest.TestCase):
-    """A service of ten slots that is asked for 1.3 times of what it can do."""
+    """A service of ten slots under 1.3 times the load it can serve."""
 
     def test_sums(self) -> None:
-        """What is busy is the time of all runs, and each has its gap."""
+        """The busy time is the time of all runs, and each run has its gap."""
         world = World(targets=10, slots=1, utilisation=1.3, long_share=0.0)
         simulation = Simulation(world)
         simulation.run()
@@ -113,7 +113,7 @@
 
 
 class SumTests(unittest.TestCase):
-    """Slots by themselves."""
+    """Slot use without a target."""
 
     def test_every_slot_counts(self) -> None:
         """Each second of each slot is either busy or idle."""
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,7 +1,7 @@
-"""A small fake around the pure decisions: one caller, few agents, a fake clock.
+"""A simulation of the token protocol: one caller, a few agents, a fake clock.
 
-Every part is the product's own code; only packets, the target and the time
-are played. Faults are plain values that the tests set.
+The decision code is the product's own; the network, the target and time are
+simulated. Faults are plain attributes that tests set.
 """
 
 import heapq
@@ -31,7 +31,7 @@
 
 
 def service(**limits) -> Service:
-    """Return a service with one kind of each sort."""
+    """Return a service with a kind of work of each type."""
     kinds = {
         "reading": Kind(name="reading", idempotent=True),
         "top-up": Kind(name="top-up"),
@@ -65,7 +65,7 @@
 
 
 def holder(of: TargetRecord, **limits) -> Holder:
-    """Return a serving agent's decisions for a record."""
+    """Return the decision logic of an agent whose target serves."""
     token = HolderToken(service="maps", ip=of.ip, port=of.port, instance=of.instance)
     made = Holder(token=token, keys=KEYS, slots=of.slots, connections=of.connections)
     made.service = service(**limits)
@@ -74,7 +74,7 @@
 
 
 def balancer(name: str = "b1", *, host: int = 1, **limits) -> Balancer:
-    """Return a balancer's decisions with the service configured."""
+    """Return the decision logic of a balancer that has the service configured."""
     own = BalancerRecord(
         name=name,
         data_centre="dc-1",
@@ -92,7 +92,7 @@
 
 @dataclass(kw_only=True)
 class Network:
-    """What happens to packets: shares of them, and copies that come late."""
+    """Faults of the network: probabilities, and the delay of duplicates."""
 
     drop: float = 0.0
     duplicate: float = 0.0
@@ -103,7 +103,7 @@
 
 @dataclass(kw_only=True)
 class Target:
-    """What the target does with work; records every run by its body."""
+    """The behaviour of the target; counts the runs of each request body."""
 
     seconds: float = 0.02
     result: actions.RunResult | None = None
@@ -111,7 +111,7 @@
 
 
 class Rig:
-    """Plays packets, targets and time for the product's pure decisions."""
+    """Simulates the network, the target and time around the decision code."""
 
     def __init__(self, *, seed: int = 0, agents: int = 2, balancers: int = 2) -> None:
         self.draw = random.Random(seed)
@@ -134,15 +134,15 @@
             self.announce(agent)
         self.at(0.0, self._tick)
 
-    # What tests do
+    # Operations for tests
 
     def at(self, delay: float, call, *arguments) -> None:
-        """Call something after a delay."""
+        """Schedule a call after a delay in seconds."""
         entry = (self.now + delay, next(self._order), call, arguments)
         heapq.heappush(self._events, entry)
 
     def run(self, seconds: float) -> None:
-        """Let that much time pass."""
+        """Advance time by some seconds."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
             self.now, _, call, arguments = heapq.heappop(self._events)
@@ -150,7 +150,7 @@
         self.now = until
 
     def open(self) -> FlowSession:
-        """Begin to open a flow."""
+        """Start to open a flow."""
         flow = self.draw.randbytes(16)
         session = FlowSession(flow=flow, now=self.now)
         self.sessions.append(session)
@@ -160,19 +160,19 @@
     def request(
         self, session: FlowSession, kind: str, body: bytes, *, deadline: float = 2.0
     ) -> int:
-        """Send a request; its outcome will stand in ``outcomes`` by its body."""
+        """Send a request; ``outcomes`` will have its outcome under its body."""
         number = session.request(kind, body, deadline=self.now + deadline, now=self.now)
         self._body_by_request[(session.flow, number)] = body
         self._flush(session)
         return number
 
     def cancel(self, session: FlowSession, number: int) -> None:
-        """Give up on a request."""
+        """Cancel a request."""
         session.cancel(number, now=self.now)
         self._flush(session)
 
     def announce(self, agent: str) -> None:
-        """Let all balancers know an agent and its load."""
+        """Announce an agent and its load to all balancers."""
         of = self.records[agent]
         load = self.holders[agent].load(now=self.now)
         for each in self.balancers:
@@ -188,7 +188,7 @@
             )
 
     def replace_agent(self, agent: str) -> None:
-        """Put a new instance at an agent's address; it knows nothing."""
+        """Start a new instance at an agent's address, without any state."""
         old = self.records[agent]
         host = int(old.ip.rsplit(".", 1)[1])
         self.records[agent] = record(agent, host=host, epoch=old.epoch + 1)
@@ -196,7 +196,7 @@
         self.announce(agent)
 
     def replace_balancers(self) -> None:
-        """Put balancers with empty tables in the place of all."""
+        """Replace all balancers by new ones with empty tables."""
         self.balancers = [
             balancer(f"new-b{n}", host=n) for n in range(1, len(self.balancers) + 1)
         ]
@@ -314,7 +314,7 @@
         self.at(seconds, self._ended, agent, self.holders[agent], run.key, result)
 
     def _ended(self, agent: str, of: Holder, key, result) -> None:
-        # The process that was killed meanwhile takes no result.
+        # A process that was killed in the meantime receives no result.
         if self.holders.get(agent) is of and agent not in self.dead:
             if key in self._aborted:
                 result = actions.TimedOut()
