--- a/monsoonpier/agent/__init__.py
+++ b/monsoonpier/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside each target: holds flows, requests and their outcomes."""
+"""Agents: the processes that run beside targets and own their flows."""
--- a/monsoonpier/agent/balancer_link.py
+++ b/monsoonpier/agent/balancer_link.py
@@ -1,4 +1,4 @@
-"""An agent's dealings with balancers: heartbeats, finding them, configuration."""
+"""An agent's link to balancers: heartbeats, discovery and configuration."""
 
 import asyncio
 import random
@@ -31,20 +31,19 @@
 __all__ = ["BalancerLink", "target_record"]
 
 HEARTBEAT_SECONDS = 1.0
-INTRODUCE_EVERY = 30  # heartbeats between two announcements to the same balancer
-FIND_SECONDS = 1.0  # between looks at the platform while no balancer answers
+ANNOUNCE_EVERY = 30  # every so many heartbeats the whole record is sent instead
+MIN_FIND_SECONDS = 1.0  # between reads of the store while no balancer responds
 MAX_FIND_SECONDS = 30.0
-# Between two rounds of announcements while no balancer has answered. After a loss of
-# power balancers start 0.1 to 0.6 s after agents; rounds of 0.2 s and waiting for the
-# seeds alone cost 0.2 to 0.3 s there (first flow placed, logs of two replays).
-FIRST_GREET_SECONDS = 0.03
-GREET_SECONDS = 0.2
-GREETED_BALANCERS = 4  # beside the seeds, which may be the last to start
+# Between two rounds of announcements while no balancer responds. They are
+# short, since after a loss of power balancers may start a moment after agents.
+MIN_ANNOUNCE_SECONDS = 0.03
+MAX_ANNOUNCE_SECONDS = 0.2
+ANNOUNCE_SAMPLE = 4  # balancers in a round besides the seeds, which may start last
 _log = structlog.get_logger("monsoonpier.agent.balancer_link")
 
 
 def target_record(settings: Settings, *, instance: bytes) -> TargetRecord:
-    """Return what an agent that starts now announces of its target."""
+    """Return the first record of its target that an agent announces."""
     assert settings.target and settings.internal and settings.control
     return TargetRecord(
         name=settings.name,
@@ -61,14 +60,19 @@
 
 
 class BalancerLink:
-    """Keeps balancers informed of the target, and the agent of configuration.
+    """Keeps balancers informed of the target, and the agent of its configuration.
 
     Args:
-        record: The target as it is announced at first.
-        send: Sends a control frame to an internal address.
+        settings: The settings of this process.
+        store: The store in which balancers are registered.
+        record: The first record of the target.
+        send: Sends a frame to the internal address of another process.
         read_load: Returns the present load for a heartbeat.
-        configure: Takes each newer configuration; ``None`` if none is wanted.
-        evacuate: Told whenever an order on the target's data centre is new.
+        configure: Called with each newer configuration; ``None`` if none is
+            wanted.
+        evacuate: Called after each change of evacuation of the target's data
+            centre.
+        draw: The source of random numbers.
     """
 
     def __init__(
@@ -86,41 +90,41 @@
         self._settings = settings
         self._send = send
         self._read_load = read_load
-        self._take_configuration = configure
-        self._take_evacuation = evacuate
+        self._on_configuration = configure
+        self._on_evacuation = evacuate
         self._draw = draw
         self._codec = FrameCodec(keys=settings.keys)
         self._witnesses = Witnesses(target=settings.name)
         self._store = store
-        self._fetching: asyncio.Task | None = None
-        self._reading: asyncio.Task | None = None
+        self._fetch_task: asyncio.Task | None = None
+        self._read_task: asyncio.Task | None = None
         self.record = record
         self.configuration = Configuration()
         self.evacuations = Evacuations()
 
     @property
     def is_evacuated(self) -> bool:
-        """Whether the target's data centre takes no new flows."""
+        """Whether the target's data centre accepts no new flows."""
         return self.evacuations.is_evacuated(self._settings.data_centre)
 
     async def run(self) -> None:
-        """Heartbeat and look for balancers until cancelled."""
-        await asyncio.gather(self._heartbeat_forever(), self._find_forever())
+        """Send heartbeats and look for balancers until cancelled."""
+        await asyncio.gather(self._heartbeat_forever(), self._find_balancers_forever())
 
     async def close(self) -> None:
-        """Let go of connections."""
+        """Close the connections to the store."""
         await self._store.close()
 
     def announce(self, condition: Condition) -> None:
-        """Tell the balancers of the target's condition at once."""
+        """Announce the target's condition to the balancers at once."""
         if condition is not self.record.condition:
             self.record = self.record.with_condition(condition)
-        self._witnesses.announce_again()
+        self._witnesses.announce_to_all()
         for balancer in self._witnesses.chosen(now=_now()):
             self._send(self._announcement(), balancer.endpoint)
 
-    def identify(self, instance: bytes, *, slots: int) -> None:
-        """Take the target's run and size into its record."""
+    def set_instance(self, instance: bytes, *, slots: int) -> None:
+        """Put the target's instance and slots into its record."""
         self.record = msgspec.structs.replace(
             self.record,
             instance=instance,
@@ -129,20 +133,26 @@
             is_absent=False,
         )
 
-    def announce_absent(self) -> None:
-        """Tell the balancers at once that no target has been found here."""
+    def announce_no_target(self) -> None:
+        """Announce at once that no target has been found here."""
         self.record = msgspec.structs.replace(
             self.record, is_absent=True, change=self.record.change + 1
         )
         self.announce(self.record.condition)
 
     def acknowledged(self, ack: HeartbeatAck) -> bool:
-        """Take a balancer's answer; tell whether the target is allowed."""
+        """Process a balancer's response; return whether the target is allowed.
+
+        A response under an older configuration than the agent's does not
+        reject the target.
+        """
         self._witnesses.acknowledged(ack, now=_now())
-        self._learn_evacuation(ack)
+        self._apply_evacuation(ack)
         epoch = self._witnesses.epoch_beyond(ack, epoch=self.record.epoch)
         if epoch is not None:
-            _log.warning("clock was set back", epoch=self.record.epoch, held=epoch - 1)
+            _log.warning(
+                "wall clock was set back", epoch=self.record.epoch, held=epoch - 1
+            )
             self.record = msgspec.structs.replace(self.record, epoch=epoch)
             self.announce(self.record.condition)
         record = self._witnesses.record(ack.balancer)
@@ -151,7 +161,7 @@
         is_current = ack.version and ack.version >= self.configuration.version
         return ack.allowed or not is_current
 
-    def _learn_evacuation(self, ack: HeartbeatAck) -> None:
+    def _apply_evacuation(self, ack: HeartbeatAck) -> None:
         order = ack.evacuation
         if order is None or order.data_centre != self._settings.data_centre:
             return
@@ -160,24 +170,24 @@
             return
         self.evacuations = joined
         _log.info(
-            "evacuation in force" if order.is_active else "evacuation taken back",
+            "evacuation in force" if order.is_active else "evacuation revoked",
             revision=order.revision,
             generation=order.generation,
             learned_from=ack.balancer,
         )
-        self._take_evacuation()
+        self._on_evacuation()
 
     async def _heartbeat_forever(self) -> None:
         beats = 0
         while True:
             beats += 1
-            if beats % INTRODUCE_EVERY == 0:
-                self._witnesses.announce_again()
+            if beats % ANNOUNCE_EVERY == 0:
+                self._witnesses.announce_to_all()
             for balancer in self._witnesses.chosen(now=_now()):
                 announce = self._witnesses.beat(balancer.name, now=_now())
                 frame = self._announcement() if announce else self._heartbeat()
                 self._send(frame, balancer.endpoint)
-            # Agents that started together must not beat in step for ever.
+            # Spreads the heartbeats of agents that started together.
             await asyncio.sleep(HEARTBEAT_SECONDS * self._draw.uniform(0.9, 1.1))
 
     def _announcement(self) -> Announce:
@@ -191,59 +201,63 @@
             load=self._read_load(),
         )
 
-    async def _find_forever(self) -> None:
-        """Ask seeds and the store while no balancer has answered.
+    async def _find_balancers_forever(self) -> None:
+        """Announce to seeds and read the store while no balancer has responded.
 
-        When a whole fleet is cut off it must not take the store's rates, so the
-        store is asked ever more seldom; seeds cost nobody anything.
+        Reads of the store back off, so that many agents that lost their
+        balancers at once do not use up the store's rate limits. Announcements
+        to seeds need no such limit.
         """
-        reading = Backoff(first_seconds=FIND_SECONDS, most_seconds=MAX_FIND_SECONDS)
-        greeting = Backoff(
-            first_seconds=FIRST_GREET_SECONDS, most_seconds=GREET_SECONDS
+        read_backoff = Backoff(
+            first_seconds=MIN_FIND_SECONDS, most_seconds=MAX_FIND_SECONDS
+        )
+        announce_backoff = Backoff(
+            first_seconds=MIN_ANNOUNCE_SECONDS, most_seconds=MAX_ANNOUNCE_SECONDS
         )
-        # What a store that lives on knows of balancers is mostly true again soon.
-        read_at = _now()
+        # Read at once: balancers registered earlier are likely to be up again
+        # soon.
+        next_read_at = _now()
         while True:
             if not self._witnesses.is_cut_off:
-                reading = reading.after_success()
-                greeting = greeting.after_success()
-                await asyncio.sleep(FIND_SECONDS * self._draw.uniform(0.5, 1.0))
+                read_backoff = read_backoff.after_success()
+                announce_backoff = announce_backoff.after_success()
+                await asyncio.sleep(MIN_FIND_SECONDS * self._draw.uniform(0.5, 1.0))
                 continue
-            self._greet()
-            if _now() >= read_at:
+            self._announce_to_candidates()
+            if _now() >= next_read_at:
                 self._read_store_soon()
-                read_at = _now() + reading.wait_seconds(draw=self._draw)
-                reading = reading.after_failure()
-            await asyncio.sleep(greeting.wait_seconds(draw=self._draw))
-            greeting = greeting.after_failure()
-
-    def _greet(self) -> None:
-        """Announce the target to the seeds and to some balancers that are known."""
-        known = self._witnesses.sample(GREETED_BALANCERS, draw=self._draw)
+                next_read_at = _now() + read_backoff.wait_seconds(draw=self._draw)
+                read_backoff = read_backoff.after_failure()
+            await asyncio.sleep(announce_backoff.wait_seconds(draw=self._draw))
+            announce_backoff = announce_backoff.after_failure()
+
+    def _announce_to_candidates(self) -> None:
+        """Announce the target to the seeds and some known balancers."""
+        known = self._witnesses.sample(ANNOUNCE_SAMPLE, draw=self._draw)
         endpoints = {seed.endpoint for seed in self._settings.seeds}
         endpoints |= {record.endpoint for record in known}
         for endpoint in sorted(endpoints):
             self._send(self._announcement(), endpoint)
 
     def _read_store_soon(self) -> None:
-        """Read the store beside the announcements: it may not answer for long."""
-        if self._reading is None or self._reading.done():
-            self._reading = asyncio.create_task(self._read_store())
+        """Read the store in a separate task, since it may not respond for long."""
+        if self._read_task is None or self._read_task.done():
+            self._read_task = asyncio.create_task(self._read_store())
 
     async def _read_store(self) -> None:
         try:
             found = await self._store.read(BALANCERS, prefix=True, may_be_old=True)
         except StoreError as error:
-            _log.info("platform unreachable", reason=str(error))
+            _log.info("reading balancers from the store failed", reason=str(error))
             return
         for record in registered_balancers(found, codec=self._codec):
             self._witnesses.learn(record)
 
     def _fetch_from(self, balancer: BalancerRecord) -> None:
-        if self._take_configuration is None:
+        if self._on_configuration is None:
             return
-        if self._fetching is None or self._fetching.done():
-            self._fetching = asyncio.create_task(self._fetch(balancer))
+        if self._fetch_task is None or self._fetch_task.done():
+            self._fetch_task = asyncio.create_task(self._fetch(balancer))
 
     async def _fetch(self, balancer: BalancerRecord) -> None:
         question = AskConfiguration(
@@ -252,13 +266,13 @@
         try:
             reply = await ask(balancer.control, question, keys=self._settings.keys)
         except NoAnswer as error:
-            _log.info("configuration not fetched", reason=str(error))
+            _log.info("fetching the configuration failed", reason=str(error))
             return
         if isinstance(reply, ConfigurationReply) and reply.packed:
-            self._configure(reply.packed)
+            self._apply_configuration(reply.packed)
 
-    def _configure(self, packed: bytes) -> None:
-        """Put a configuration in force unless it is older than the present one."""
+    def _apply_configuration(self, packed: bytes) -> None:
+        """Apply a configuration unless it is older than the present one."""
         try:
             configuration = unstore(unpack(packed))
         except ValueError as error:
@@ -268,7 +282,7 @@
             return
         self.configuration = configuration
         _log.info("configuration in force", version=configuration.version)
-        self._take_configuration(configuration)
+        self._on_configuration(configuration)
 
 
 def _now() -> float:
--- a/monsoonpier/agent/packets/process.py
+++ b/monsoonpier/agent/packets/process.py
@@ -268,7 +268,7 @@
             cold_seconds=heartbeat.cold_seconds,
         )
         self._has_left = False
-        self._link.identify(instance, slots=heartbeat.slots)
+        self._link.set_instance(instance, slots=heartbeat.slots)
         resets = self._holder.started(
             instance,
             is_first=heartbeat.sequence <= 1,
@@ -328,7 +328,7 @@
         """
         self._holder.absent(now=_now())
         if self._holder.is_absent and not self._link.record.is_absent:
-            self._link.announce_absent()
+            self._link.announce_no_target()
 
     def _set_condition(self, condition: Condition, *, announce: bool = False) -> None:
         if condition is self._holder.condition and not announce:
--- a/monsoonpier/agent/witnesses.py
+++ b/monsoonpier/agent/witnesses.py
@@ -1,4 +1,4 @@
-"""Which balancers an agent heartbeats to: a few, however many there are."""
+"""Selects the few balancers to which an agent sends heartbeats."""
 
 import random
 from dataclasses import dataclass
@@ -8,92 +8,101 @@
 
 __all__ = ["Witnesses"]
 
-WITNESSES = 3
-MISSED_LIMIT = 3  # heartbeats without an answer: another balancer takes its place
-LEFT_OUT_SECONDS = 20.0
-MAX_KNOWN = 64
+PEER_COUNT = 3
+MAX_MISSED_HEARTBEATS = 3  # without a response, then another balancer is selected
+EXCLUDED_SECONDS = 20.0
+MAX_KNOWN_BALANCERS = 64
 
 
 @dataclass(slots=True, kw_only=True)
-class _Known:
+class _Peer:
+    """A balancer that the agent has a record of.
+
+    Attributes:
+        record: The balancer's record.
+        missed: Heartbeats without a response, in a row.
+        excluded_until: No heartbeats are sent before this time.
+        has_record: Whether the balancer has acknowledged the target's record.
+    """
+
     record: BalancerRecord
     missed: int = 0
-    left_out_until: float = 0.0
-    announced: bool = False
+    excluded_until: float = 0.0
+    has_record: bool = False
 
 
 class Witnesses:
-    """The balancers an agent knows, by name. Does no I/O."""
+    """The balancers that an agent has records of, by name. Does no I/O."""
 
     def __init__(self, *, target: str) -> None:
         self._target = target
-        self._known_by_name: dict[str, _Known] = {}
+        self._peers_by_name: dict[str, _Peer] = {}
 
     def __len__(self) -> int:
-        return len(self._known_by_name)
+        return len(self._peers_by_name)
 
     def learn(self, record: BalancerRecord) -> None:
-        """Take a balancer's record if it is newer than the one held."""
-        known = self._known_by_name.get(record.name)
-        if known is None:
-            if len(self._known_by_name) < MAX_KNOWN and not record.leaving:
-                self._known_by_name[record.name] = _Known(record=record)
-        elif record.epoch > known.record.epoch:
-            self._known_by_name[record.name] = _Known(record=record)
+        """Add a balancer's record, or replace an older one."""
+        peer = self._peers_by_name.get(record.name)
+        if peer is None:
+            if len(self._peers_by_name) < MAX_KNOWN_BALANCERS and not record.leaving:
+                self._peers_by_name[record.name] = _Peer(record=record)
+        elif record.epoch > peer.record.epoch:
+            self._peers_by_name[record.name] = _Peer(record=record)
 
     def record(self, name: str) -> BalancerRecord | None:
-        """Return a balancer's record, if it is known."""
-        known = self._known_by_name.get(name)
-        return known.record if known else None
+        """Return a balancer's record, if there is one."""
+        peer = self._peers_by_name.get(name)
+        return peer.record if peer else None
 
     def chosen(self, *, now: float) -> list[BalancerRecord]:
-        """Return the balancers to heartbeat to now."""
+        """Return the balancers to send heartbeats to now."""
         ready = [
             name
-            for name, known in self._known_by_name.items()
-            if now >= known.left_out_until
+            for name, peer in self._peers_by_name.items()
+            if now >= peer.excluded_until
         ]
-        names = top(self._target, ready, count=WITNESSES)
-        return [self._known_by_name[name].record for name in names]
+        names = top(self._target, ready, count=PEER_COUNT)
+        return [self._peers_by_name[name].record for name in names]
 
     def sample(self, count: int, *, draw: random.Random) -> list[BalancerRecord]:
-        """Return some of the known balancers, also such as have not answered."""
-        known = list(self._known_by_name.values())
-        return [one.record for one in draw.sample(known, min(count, len(known)))]
+        """Return up to ``count`` random balancers, also unresponsive ones."""
+        peers = list(self._peers_by_name.values())
+        return [peer.record for peer in draw.sample(peers, min(count, len(peers)))]
 
     def beat(self, name: str, *, now: float) -> bool:
-        """Count a heartbeat about to be sent; tell if to announce instead."""
-        known = self._known_by_name[name]
-        known.missed += 1
-        if known.missed > MISSED_LIMIT:
-            known.left_out_until = now + LEFT_OUT_SECONDS
-            known.missed = 0
-            known.announced = False
-        return not known.announced
+        """Count a heartbeat to be sent; return whether to announce instead."""
+        peer = self._peers_by_name[name]
+        peer.missed += 1
+        if peer.missed > MAX_MISSED_HEARTBEATS:
+            peer.excluded_until = now + EXCLUDED_SECONDS
+            peer.missed = 0
+            peer.has_record = False
+        return not peer.has_record
 
     def acknowledged(self, ack: HeartbeatAck, *, now: float) -> None:
-        """Take a balancer's answer."""
+        """Process a balancer's response to a heartbeat or an announcement."""
         for record in ack.balancers:
             self.learn(record)
-        known = self._known_by_name.get(ack.balancer)
-        if known is None:
+        peer = self._peers_by_name.get(ack.balancer)
+        if peer is None:
             return
-        known.missed = 0
-        known.announced = ack.known
-        known.left_out_until = 0.0
+        peer.missed = 0
+        peer.has_record = ack.known
+        peer.excluded_until = 0.0
         if ack.leaving:
-            del self._known_by_name[ack.balancer]
+            del self._peers_by_name[ack.balancer]
 
     def epoch_beyond(self, ack: HeartbeatAck, *, epoch: int) -> int | None:
-        """Return the epoch to take if a later one is held of this agent."""
+        """Return the epoch to use if a balancer has a later one of this agent."""
         return ack.held_epoch + 1 if ack.held_epoch > epoch else None
 
-    def announce_again(self) -> None:
-        """Announce to every balancer with the next heartbeats."""
-        for known in self._known_by_name.values():
-            known.announced = False
+    def announce_to_all(self) -> None:
+        """Make the next message to each balancer an announcement."""
+        for peer in self._peers_by_name.values():
+            peer.has_record = False
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether no balancer has acknowledged this agent."""
-        return not any(known.announced for known in self._known_by_name.values())
+        """Whether no balancer has acknowledged the target's record."""
+        return not any(peer.has_record for peer in self._peers_by_name.values())
--- a/monsoonpier/charts/__init__.py
+++ b/monsoonpier/charts/__init__.py
@@ -1,4 +1,4 @@
-"""State charts: TOML files beside this module, which `Chart` interprets."""
+"""State charts: TOML files in this folder, and `Chart` to interpret them."""
 
 from monsoonpier.charts.chart import Chart, load_chart
 
--- a/monsoonpier/charts/chart.py
+++ b/monsoonpier/charts/chart.py
@@ -1,4 +1,4 @@
-"""Loads a state chart and steps it: state and event in, state out."""
+"""Loads state charts and computes their transitions."""
 
 import tomllib
 from dataclasses import dataclass
@@ -10,7 +10,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Chart:
-    """One role's life. An event that a state does not name leaves it as it is."""
+    """The states and transitions of one role.
+
+    An event that a state has no transition for leaves the state as it is.
+
+    Attributes:
+        name: The name of the chart's file, without its suffix.
+        initial: The state at the start.
+        traits_by_state: The traits of each state.
+        events: All events.
+        next_by_state_and_event: The transitions.
+    """
 
     name: str
     initial: str
@@ -31,7 +41,7 @@
         return self.next_by_state_and_event.get((state, event), state)
 
     def has(self, state: str, trait: str) -> bool:
-        """Tell whether the chart gives the state that trait."""
+        """Return whether the state has the trait."""
         return self.traits_by_state[state].get(trait, False)
 
 
@@ -42,7 +52,8 @@
     Raises:
         ValueError: If a transition names a state that the chart doesn't have.
     """
-    # importlib.resources takes 29 ms to import, a tenth of a daemon's start.
+    # Avoids importlib.resources, whose import would slow the start of
+    # processes.
     text = (Path(__file__).parent / f"{name}.toml").read_text(encoding="utf-8")
     content = tomllib.loads(text)
     states = content["states"]
--- a/monsoonpier/model/__init__.py
+++ b/monsoonpier/model/__init__.py
@@ -1,1 +1,1 @@
-"""Values that every part shares. Nothing here does I/O."""
+"""Values that all parts of the product share. Nothing here does I/O."""
--- a/monsoonpier/model/address.py
+++ b/monsoonpier/model/address.py
@@ -1,4 +1,4 @@
-"""Addresses of processes and services: an IP number and a port."""
+"""Addresses of processes and services."""
 
 import ipaddress
 from dataclasses import dataclass
@@ -10,17 +10,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True, order=True)
 class Address:
-    """An IPv4 address and a port, as UDP and TCP use them."""
+    """An IPv4 address and a UDP or TCP port."""
 
     ip: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> "Address":
-        """Return the address that ``ip:port`` names.
+        """Return the address written as ``ip:port``.
 
         Raises:
-            ValueError: If the IP number or the port is not valid.
+            ValueError: If the IP address or the port is not valid.
         """
         ip, separator, port = text.rpartition(":")
         if not separator or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
@@ -29,7 +29,7 @@
 
     @property
     def endpoint(self) -> tuple[str, int]:
-        """The address as the standard library's sockets take it."""
+        """The address in the form that the standard library's sockets take."""
         return (self.ip, self.port)
 
     def __str__(self) -> str:
--- a/monsoonpier/model/evacuation.py
+++ b/monsoonpier/model/evacuation.py
@@ -1,13 +1,15 @@
-"""Which data centres are evacuated: no new flow goes to a target there.
-
-An operator's order is known by the store's revision that wrote or deleted it. Words
-of it come in any order and more than once: from a watch, a full reading, a peer. The
-greatest revision of a data centre holds, so what is known never goes back.
-
-A store that comes back from an older copy may lack an order until its operator writes
-it again. An order that is known from an earlier generation stays in force until a
-conclusive reading of the newer one doesn't find it: sending flows to a data centre
-that is being emptied is worse than sparing it for some seconds more.
+"""Which data centres are evacuated, so that their targets get no new flows.
+
+An operator's order is identified by the revision of the store that wrote or
+deleted it. Updates arrive in any order and more than once, from a watch, a
+read of the store or a peer. The update with the greatest revision of a data
+centre wins, so the known state never goes back.
+
+A store that was restored from a backup may lack an order until the operator
+writes it again. An order of an earlier generation therefore stays in force
+until a conclusive read in the newer generation does not find it: sending flows
+to a data centre that is being evacuated is worse than sparing it for a few
+more seconds.
 """
 
 from collections.abc import Iterable, Mapping
@@ -21,19 +23,20 @@
 
 __all__ = ["MAX_EVACUATIONS", "Evacuation", "Evacuations", "evacuation"]
 
-# Data centres that were ever evacuated; what is aimed at has six. All of them are in
-# each gossip datagram: 16 of 40 bytes leave room for eight targets' records.
+# Every gossip datagram has all orders, so their number must leave room for
+# records.
 MAX_EVACUATIONS = 16
 
 
 class Evacuation(msgspec.Struct, frozen=True, kw_only=True, array_like=True, gc=False):
-    """The last known order on one data centre.
+    """The latest known order on one data centre.
 
     Attributes:
-        data_centre: Its name.
-        revision: The number of the store's revision of the order, or of its deletion.
-        is_active: No new flow may go there; else the order was taken back.
-        generation: The store's generation that this revision is of.
+        data_centre: The name of the data centre.
+        revision: The revision number of the order, or of its deletion.
+        is_active: Whether no new flow may go there; otherwise the order was
+            revoked.
+        generation: The generation of the store that the revision belongs to.
     """
 
     data_centre: Annotated[str, Meta(min_length=1, max_length=64)]
@@ -50,7 +53,7 @@
 def evacuation(
     data_centre: str, *, written_at: Revision, is_active: bool
 ) -> Evacuation:
-    """Return word of an order, or of its deletion, at a revision of the store."""
+    """Return the order, or its revocation, at a revision of the store."""
     return Evacuation(
         data_centre=data_centre,
         revision=written_at.number,
@@ -61,14 +64,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Evacuations:
-    """The last known orders of all data centres. Immutable.
+    """The latest known orders on all data centres. Immutable.
 
     Attributes:
-        known: The last known order on each data centre that ever had one.
-        read_at: The store's revision of the newest full reading; what is older, of
-            the same generation, and wasn't found then is outdated.
-        concluded_at: That of the newest conclusive one; words of earlier generations
-            that weren't found then are outdated too.
+        known: The latest order on each data centre that ever had one.
+        read_at: The store's revision of the newest full read. Older updates of
+            the same generation on data centres without a known order are
+            outdated.
+        concluded_at: The revision of the newest conclusive read. Such updates
+            of earlier generations are outdated too.
     """
 
     known: tuple[Evacuation, ...] = ()
@@ -76,12 +80,12 @@
     concluded_at: Revision = NO_REVISION
 
     def is_evacuated(self, data_centre: str) -> bool:
-        """Tell whether no new flow may go to the data centre."""
+        """Return whether no new flow may go to the data centre."""
         order = self.of(data_centre)
         return order is not None and order.is_active
 
     def of(self, data_centre: str) -> Evacuation | None:
-        """Return the last known order on a data centre, if there ever was one."""
+        """Return the latest order on a data centre, if there ever was one."""
         for order in self.known:
             if order.data_centre == data_centre:
                 return order
@@ -89,22 +93,22 @@
 
     @property
     def active(self) -> frozenset[str]:
-        """The names of the data centres that are evacuated."""
+        """The names of the evacuated data centres."""
         return frozenset(order.data_centre for order in self.known if order.is_active)
 
     def joined(self, orders: Iterable[Evacuation]) -> "Evacuations":
-        """Return these with other words of orders; the newer one of each holds.
+        """Return these orders merged with updates; the newer order wins.
 
-        The result is the same in whatever order words come, and however often, up
-        to `MAX_EVACUATIONS` data centres.
+        The merge is commutative and idempotent, up to `MAX_EVACUATIONS` data
+        centres.
         """
         newest_by_name = {order.data_centre: order for order in self.known}
         is_changed = False
         for order in orders:
-            held = newest_by_name.get(order.data_centre)
+            current = newest_by_name.get(order.data_centre)
             is_newer = (
-                order.written_at > held.written_at
-                if held is not None
+                order.written_at > current.written_at
+                if current is not None
                 else not self._is_outdated(order.written_at)
             )
             if is_newer:
@@ -112,7 +116,7 @@
                 is_changed = True
         if not is_changed:
             return self
-        return replace(self, known=_most_important(newest_by_name.values()))
+        return replace(self, known=_bounded(newest_by_name.values()))
 
     def as_read(
         self,
@@ -121,16 +125,17 @@
         revision: Revision,
         is_conclusive: bool = True,
     ) -> "Evacuations":
-        """Return these after all orders were read from the store.
+        """Return these orders merged with a full read of the store.
 
         Args:
-            revisions_by_data_centre: Orders that are in the store, with the revision
-                of each.
-            revision: The store's revision that the reading holds for at least. An
-                order that is older and wasn't found has been deleted.
-            is_conclusive: Operators have had the time to write again what the store
-                lost when it came back from a copy. Otherwise an order of an earlier
-                generation stays in force though it wasn't found.
+            revisions_by_data_centre: The orders in the store, with their
+                revisions.
+            revision: The store's revision at the read or before it. An older
+                order that the read did not find has been deleted.
+            is_conclusive: Whether operators have had the time to write again
+                what the store lost in a restore. Otherwise an order of an
+                earlier generation stays in force even if the read did not find
+                it.
         """
         found = [
             evacuation(name, written_at=written, is_active=True)
@@ -144,8 +149,8 @@
             and (is_conclusive or order.generation >= revision.generation)
         ]
         is_newest = revision > self.read_at
-        unheard = Evacuations(known=self.known) if is_newest else self
-        after = unheard.joined(found + missing)
+        base = Evacuations(known=self.known) if is_newest else self
+        after = base.joined(found + missing)
         return replace(
             after,
             read_at=max(revision, self.read_at),
@@ -155,15 +160,19 @@
         )
 
     def _is_outdated(self, written_at: Revision) -> bool:
-        """Tell whether a word of an order that isn't known is older than a reading."""
+        """Return whether an update on an unknown data centre precedes a read."""
         if written_at <= self.concluded_at:
             return True
         is_same_generation = written_at.generation == self.read_at.generation
         return is_same_generation and written_at <= self.read_at
 
 
-def _most_important(orders: Iterable[Evacuation]) -> tuple[Evacuation, ...]:
-    """Return active orders before those taken back, and the newest of each."""
+def _bounded(orders: Iterable[Evacuation]) -> tuple[Evacuation, ...]:
+    """Return at most `MAX_EVACUATIONS` orders, by name.
+
+    Active orders are kept before revoked ones, and newer ones before older
+    ones.
+    """
     ranked = sorted(
         orders,
         key=lambda order: (order.is_active, order.written_at, order.data_centre),
--- a/monsoonpier/model/findings.py
+++ b/monsoonpier/model/findings.py
@@ -1,4 +1,4 @@
-"""What is wrong with a file, collected with its place and reported together."""
+"""Errors in files, collected with their places and reported together."""
 
 from dataclasses import dataclass
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Finding:
-    """One thing that is wrong, where it is, and what would be right."""
+    """One error: where it is, what is wrong, and how to correct it."""
 
     place: Place
     problem: str
@@ -35,7 +35,7 @@
 
 
 def report(findings: tuple[Finding, ...]) -> str:
-    """Return every finding on a line of its own, in order of place."""
+    """Return all findings in the order of their places, one a line."""
     ordered = sorted(
         findings, key=lambda f: (f.place.file, f.place.line, f.place.column)
     )
--- a/monsoonpier/model/keys.py
+++ b/monsoonpier/model/keys.py
@@ -1,4 +1,4 @@
-"""Message authentication with keys that rotate: keyed BLAKE2."""
+"""Message authentication codes with rotating keys, by keyed BLAKE2."""
 
 from dataclasses import dataclass, field
 from functools import cached_property
@@ -10,14 +10,14 @@
 MAC_BYTES = 16
 HEADER_BYTES = 1 + MAC_BYTES
 
-# A MAC made for one purpose must not pass for the other.
+# Purposes: a MAC made for one must not be valid for the other.
 TOKEN = b"mp-token"
 FRAME = b"mp-frame"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Key:
-    """A shared secret and the number (0 to 255) that names it in messages."""
+    """A shared secret and its id (0 to 255), which messages contain."""
 
     id: int
     secret: bytes = field(repr=False)
@@ -25,13 +25,14 @@
 
 @dataclass(frozen=True, kw_only=True)
 class KeyRing:
-    """The keys in force: the first one seals, each of them opens."""
+    """The keys in force: the first one signs, and all of them verify."""
 
     keys: tuple[Key, ...] = field(repr=False)
 
     @cached_property
     def _states_by_purpose(self) -> dict:
-        # Copying a prepared state spares hashing the key for each message.
+        # Copying a prepared state is faster than hashing the key for each
+        # message.
         return {
             purpose: {
                 key.id: blake2b(key=key.secret, digest_size=MAC_BYTES, person=purpose)
@@ -45,10 +46,10 @@
         return bytes((self.keys[0].id,))
 
     def seal(self, body: bytes, *, purpose: bytes, bound_to: bytes = b"") -> bytes:
-        """Return the key's number, the MAC and ``body``, in this order.
+        """Return the key's id, the MAC and ``body``, in this order.
 
-        ``bound_to`` goes into the MAC only; it must have the same length in
-        every message of a purpose.
+        ``bound_to`` is covered by the MAC but not contained in the result. It
+        must have the same length in all messages of a purpose.
         """
         state = self._states_by_purpose[purpose][self.keys[0].id].copy()
         state.update(bound_to + body)
@@ -57,7 +58,7 @@
     def unseal(
         self, sealed: bytes, *, purpose: bytes, bound_to: bytes = b""
     ) -> bytes | None:
-        """Return the body if its MAC holds under a key in force, else ``None``."""
+        """Return the body if its MAC is valid for a key in force, else ``None``."""
         if len(sealed) <= HEADER_BYTES:
             return None
         state = self._states_by_purpose[purpose].get(sealed[0])
--- a/monsoonpier/model/outcome.py
+++ b/monsoonpier/model/outcome.py
@@ -1,4 +1,4 @@
-"""How a request ended, as its caller learns it. Taken apart with ``match``."""
+"""Outcomes of a request, as its caller gets them. To be used with ``match``."""
 
 from dataclasses import dataclass
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Done:
-    """The work ran and this is the whole answer."""
+    """The request was executed, and this is the whole answer."""
 
     status: int
     body: bytes
@@ -24,7 +24,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NotRun:
-    """The work did not run and never will under this request's id."""
+    """The request was not executed and never will be under its id.
+
+    Attributes:
+        reason: Why it was not executed.
+        retry_after: Seconds to wait before the next attempt.
+        reopen: Whether the next attempt needs a new flow.
+    """
 
     reason: str
     retry_after: float
@@ -33,7 +39,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Refused:
-    """No flow could be opened, so nothing was sent; come back later."""
+    """No flow could be opened, so nothing was sent.
+
+    Attributes:
+        reason: Why no flow was opened.
+        retry_after: Seconds to wait before the next attempt.
+    """
 
     reason: str
     retry_after: float
@@ -41,28 +52,28 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Late:
-    """The deadline passed after the work was handed over: it may have run."""
+    """The deadline passed after the request was sent; it may have run."""
 
     reason: str = "deadline passed"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Unknown:
-    """The work was handed over and its result was lost: it may have run."""
+    """The request was sent and its result was lost; it may have run."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FlowLost:
-    """The holder of the flow is gone: the work may have run."""
+    """The owner of the flow is gone; the request may have run."""
 
     reason: str = "the holder of the flow is gone"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Cancelled:
-    """The caller cancelled; the work may have run in part."""
+    """The caller cancelled the request; it may have run in part."""
 
 
 Outcome = Done | NotRun | Refused | Late | Unknown | FlowLost | Cancelled
--- a/monsoonpier/model/rendezvous.py
+++ b/monsoonpier/model/rendezvous.py
@@ -1,4 +1,8 @@
-"""Highest-random-weight choice: the same few out of many, from any side."""
+"""Rendezvous hashing (highest random weight).
+
+Processes that know the same candidates select the same few without
+coordination.
+"""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -6,18 +10,18 @@
 
 __all__ = ["rank", "top", "top_by_weight"]
 
-RANKS = 1 << 64  # as many as there are ranks of 8 bytes
+HASH_VALUES = 1 << 64  # of 8 bytes
 
 
 def rank(subject: str, candidate: str) -> bytes:
-    """Return the candidate's weight for a subject; the largest is chosen."""
+    """Return the candidate's hash for a subject; the largest is selected."""
     return blake2b(
         f"{subject}\0{candidate}".encode(), digest_size=8, person=b"rendezvous"
     ).digest()
 
 
 def top(subject: str, candidates: Iterable[str], *, count: int) -> tuple[str, ...]:
-    """Return the ``count`` candidates that rank highest for the subject."""
+    """Return the ``count`` candidates with the largest hashes for the subject."""
     ordered = sorted(candidates, key=lambda name: rank(subject, name), reverse=True)
     return tuple(ordered[:count])
 
@@ -25,14 +29,15 @@
 def top_by_weight(
     subject: str, weights_by_candidate: Mapping[str, float]
 ) -> tuple[str, ...]:
-    """Return the candidates that have a weight, the one for the subject first.
+    """Return the candidates with a weight above 0, best for the subject first.
 
-    Of many subjects each candidate comes first for a share in proportion to its
-    weight. Its score depends on no other's weight: when one weight grows, subjects
-    move to that candidate alone, and when one candidate goes, only its own move.
+    Over many subjects, each candidate comes first in proportion to its weight.
+    Its score depends on no other weight: when a weight grows, subjects move
+    only to that candidate, and when a candidate goes, only its own subjects
+    move.
     """
     scores_by_candidate = {
-        candidate: -math.log(_draw(subject, candidate)) / weight
+        candidate: -math.log(_unit_hash(subject, candidate)) / weight
         for candidate, weight in weights_by_candidate.items()
         if weight > 0
     }
@@ -40,6 +45,6 @@
     return tuple(name for _, name in ordered)
 
 
-def _draw(subject: str, candidate: str) -> float:
-    """Return a number above 0 and up to 1 that only these two names decide."""
-    return (int.from_bytes(rank(subject, candidate), "big") + 0.5) / RANKS
+def _unit_hash(subject: str, candidate: str) -> float:
+    """Return a hash of both names, above 0 and up to 1."""
+    return (int.from_bytes(rank(subject, candidate), "big") + 0.5) / HASH_VALUES
--- a/monsoonpier/model/revision.py
+++ b/monsoonpier/model/revision.py
@@ -1,25 +1,25 @@
-"""A revision of the key-value service, across its returns from older copies.
+"""A revision of the key-value store that stays ordered across restores.
 
-The service counts its changes. When it comes back from a copy that is seconds old,
-its count goes back too, and the numbers since are given out a second time: a number
-alone no longer tells which of two changes came later. The service's generation, which
-rises by one at each such return, decides first.
+The store counts its changes. When it is restored from a backup, its count goes
+back, and later changes get numbers that were used before, so a number alone
+does not tell which of two changes came later. The generation, which grows by
+one at each restore, is compared first.
 """
 
 from dataclasses import dataclass, replace
 
 __all__ = ["MAX_GENERATION", "NO_REVISION", "Revision"]
 
-MAX_GENERATION = 2**31 - 1  # a larger one is no count of returns
+MAX_GENERATION = 2**31 - 1  # larger numbers are invalid
 
 
 @dataclass(frozen=True, slots=True, kw_only=True, order=True)
 class Revision:
-    """A change's place in the service's history; a later one is greater.
+    """A change's position in the history of the store; a later one is greater.
 
     Attributes:
-        generation: How often the service had come back from an older copy.
-        number: Its own count of changes; 0 is before the first one.
+        generation: How often the store has been restored from a backup.
+        number: The store's own count of changes; 0 is before the first one.
     """
 
     generation: int = 0
@@ -27,14 +27,14 @@
 
     @property
     def next(self) -> "Revision":
-        """The revision after this one, in the same generation."""
+        """The next revision of the same generation."""
         return replace(self, number=self.number + 1)
 
     def __str__(self) -> str:
-        """Return the number, with the generation before it unless that is 0."""
+        """Return the number, prefixed by the generation unless that is 0."""
         if not self.generation:
             return str(self.number)
         return f"{self.generation}:{self.number}"
 
 
-NO_REVISION = Revision()  # of a key that isn't there
+NO_REVISION = Revision()  # of a key that doesn't exist
--- a/monsoonpier/model/service.py
+++ b/monsoonpier/model/service.py
@@ -15,7 +15,7 @@
 
 
 class Preference(Enum):
-    """Which data centre new flows go to."""
+    """Which data centres new flows may go to."""
 
     ANY = "any"
     LOCAL = "local"
@@ -23,7 +23,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Kind:
-    """A kind of work: whether it may be repeated and how long it may take."""
+    """A kind of work of a service.
+
+    Attributes:
+        name: The name of the kind.
+        idempotent: Whether a request may be executed more than once.
+        stream: Whether the answer is a stream.
+        deadline_seconds: How long a request may take if its caller sets no
+            deadline.
+    """
 
     name: str
     idempotent: bool = False
@@ -33,7 +41,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Limits:
-    """What one target of a service accepts at most."""
+    """Limits of one target of a service.
+
+    Attributes:
+        queue_per_slot: How many requests may wait for each slot.
+        cold_start_seconds: How long after its start a target counts as cold.
+        max_request_bytes: The largest body of a request.
+    """
 
     queue_per_slot: int = 4
     cold_start_seconds: float = 10.0
@@ -42,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """One service: its address, the work it does, the targets it allows."""
+    """One service: its address, its kinds of work and the targets it allows."""
 
     name: str
     address: Address
@@ -52,18 +66,22 @@
     prefer: Preference = Preference.LOCAL
 
     def allows(self, target: str) -> bool:
-        """Tell whether a target of this name may serve the service."""
+        """Return whether a target of this name may serve the service."""
         return _matches(target, self.targets)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PacketRoute:
-    """Where new flows without a token go that are opened at one address.
-
-    ``aim_seconds`` is the latency that callers want, ``timeout_seconds`` the
-    one after which an answer is of no use to them. ``priority`` 0 is the most
-    urgent. New flows go to ``service``; where ``weights_by_service`` has any they are
-    shared by these, in proportion, and a weight of 0 gets none.
+    """Where new flows without a token to one address go.
+
+    Attributes:
+        service: The service that gets new flows, unless there are weights.
+        aim_seconds: The latency target of the callers.
+        timeout_seconds: The time after which an answer is of no use to a
+            caller.
+        priority: 0 is the most urgent.
+        weights_by_service: Splits new flows between services in proportion; a
+            service of weight 0 gets none.
     """
 
     service: str = ""
@@ -74,18 +92,22 @@
 
     @property
     def services(self) -> frozenset[str]:
-        """All services that the route names: their targets may hold its flows."""
+        """All services of the route; their targets may own its flows."""
         named = (self.service, *self.weights_by_service)
         return frozenset(name for name in named if name)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Configuration:
-    """One accepted version of the whole set of operators' files.
-
-    ``cold_per_second_by_service`` has the new flows without a token that a cold target
-    bears in a second, where that is limited. ``findings`` tell what was wrong with
-    single routes of a version that is in force all the same.
+    """One accepted version of all of the operators' files.
+
+    Attributes:
+        version: The version number.
+        services_by_name: The services.
+        routes_by_address: The routes of flows without a token.
+        cold_per_second_by_service: New flows without a token a second that a
+            cold target may get; services without a limit are left out.
+        findings: Errors in single routes; the other routes are in force.
     """
 
     version: int = 0
@@ -95,12 +117,15 @@
     findings: tuple[Finding, ...] = ()
 
     def allows(self, *, service: str, target: str) -> bool:
-        """Tell whether the target may serve the service in this version."""
+        """Return whether the target may serve the service in this version."""
         declared = self.services_by_name.get(service)
         return declared is not None and declared.allows(target)
 
 
 @lru_cache(maxsize=16_384)
 def _matches(target: str, patterns: tuple[str, ...]) -> bool:
-    """Match a name; kept, since it is asked for each target of each new flow."""
+    """Return whether a target's name matches a pattern.
+
+    Results are cached, since each new flow checks every target.
+    """
     return any(fnmatch.fnmatchcase(target, pattern) for pattern in patterns)
--- a/monsoonpier/model/settings.py
+++ b/monsoonpier/model/settings.py
@@ -1,4 +1,4 @@
-"""What a process knows of itself, however its settings were written."""
+"""The settings of a process, independent of the format they are read from."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TargetSettings:
-    """The one target that an agent stands beside."""
+    """The target that an agent runs beside."""
 
     service: str
     url: str
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Settings:
-    """What a process needs to know of itself; fully checked."""
+    """The settings of one process, validated."""
 
     role: str
     name: str
@@ -32,12 +32,12 @@
     metrics: Address | None = None
     service_bind_ip: str | None = None
     seeds: tuple[Address, ...] = ()
-    data_centres: tuple[str, ...] = ()  # all of them, if they are known
+    data_centres: tuple[str, ...] = ()  # all of them; empty if not known
     target: TargetSettings | None = None
-    reserve_slots: bool = False  # for flows without a token that wait
-    link_megabits: float | None = None  # a second, of the VM; not known: no limit
+    reserve_slots: bool = False  # for waiting flows without a token
+    link_megabits: float | None = None  # Mbit/s of the VM's link; None is no limit
 
     @property
     def link_bits_per_second(self) -> float | None:
-        """What the VM's link carries, if it is known."""
+        """The capacity of the VM's link, if it is known."""
         return None if self.link_megabits is None else self.link_megabits * 1_000_000
--- a/monsoonpier/model/target.py
+++ b/monsoonpier/model/target.py
@@ -1,4 +1,4 @@
-"""Targets as agents report them: who they are and how loaded."""
+"""Targets as their agents report them: identity, condition and load."""
 
 from enum import IntEnum
 
@@ -8,17 +8,18 @@
 
 __all__ = ["ABSENT_SECONDS", "QUEUE_AHEAD", "Condition", "LoadReport", "TargetRecord"]
 
-# New flows beyond its slots that a target may have: its next run then starts
-# without the way to a balancer and back. Balancers and agents must agree on it.
+# New flows that a target may have beyond its slots. The next run then starts
+# without a round trip to a balancer. Balancers and agents must use the same
+# value.
 QUEUE_AHEAD = 1
-# Where nobody has listened for so long since an agent's start no target is left that
-# could hold flows: four heartbeats; targets that leave end within a second of their
-# farewell. Balancers and agents must agree on it too.
+# If nothing has listened for so long since an agent's start, no target is left
+# that could own flows: a running one would have sent several heartbeats, and a
+# leaving one has ended. Balancers and agents must use the same value.
 ABSENT_SECONDS = 3.0
 
 
 class Condition(IntEnum):
-    """What a target will take; the states of ``charts/target.toml``."""
+    """What a target accepts; the states of ``charts/target.toml``."""
 
     STARTING = 0
     SERVING = 1
@@ -29,13 +30,19 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True, gc=False):
-    """An agent's own count of its work; rides on replies and heartbeats.
-
-    ``number`` grows with each report, so that a late one is known as such.
-    ``service_ms`` is the smoothed time of one run, ``age_ms`` the time since
-    the target began to serve, ``cold_ms`` how much longer it says it is slow,
-    ``failed_percent`` the share of its latest requests that it failed,
-    ``queued_late`` counts those beside ``queued`` that can't be answered in time.
+    """An agent's count of its target's load, sent with replies and heartbeats.
+
+    Attributes:
+        number: Grows with each report, so that stale ones are detected.
+        in_flight: Requests in flight.
+        queued: Requests or new flows that wait and can be answered in time.
+        flows: Open flows.
+        service_ms: The smoothed service time.
+        age_ms: The time since the target began to serve.
+        condition: What the target accepts.
+        cold_ms: How long the target will still be slower than usual.
+        failed_percent: The share of recent requests that failed.
+        queued_late: Those that wait and can't be answered in time.
     """
 
     number: int
@@ -53,12 +60,25 @@
 class TargetRecord(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, gc=False
 ):
-    """What a target's agent announces; only that agent changes it.
-
-    Of two records with one name the one with the larger ``rank`` holds:
-    ``epoch`` is the agent's start (ms of its wall clock), ``change`` counts
-    its changes since then. ``is_absent`` says that nobody has listened at the
-    target's address since that start.
+    """A target's record, which only its agent changes.
+
+    Of two records of one name, the one with the larger ``rank`` is valid.
+
+    Attributes:
+        name: The target's name.
+        service: The service that it serves.
+        data_centre: The data centre that it runs in.
+        ip: The agent's internal IP address.
+        port: The agent's internal UDP port.
+        control: The agent's control address.
+        instance: Identifies the instance of the target.
+        epoch: The agent's start, in milliseconds of its wall clock.
+        change: Counts the record's changes since then.
+        slots: How many requests the target works on at once.
+        connections: How many flows the target can own at once.
+        condition: What the target accepts.
+        is_absent: Whether nothing has listened at the target's address since
+            the agent's start.
     """
 
     name: str
@@ -77,7 +97,7 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """The record's age: the larger one replaces the smaller."""
+        """The record's version; the larger one replaces the smaller."""
         return (self.epoch, self.change)
 
     @property
@@ -86,7 +106,7 @@
         return Address(ip=self.ip, port=self.port)
 
     def with_condition(self, condition: Condition) -> "TargetRecord":
-        """Return a copy in that condition, one change newer."""
+        """Return a copy with the condition, one change newer."""
         is_absent = self.is_absent and condition is Condition.STARTING
         return msgspec.structs.replace(
             self, condition=condition, change=self.change + 1, is_absent=is_absent
--- a/monsoonpier/model/token.py
+++ b/monsoonpier/model/token.py
@@ -1,4 +1,4 @@
-"""The holder token: names the agent instance that holds a flow."""
+"""The flow token, which names the agent instance that owns a flow."""
 
 import msgspec
 
@@ -10,11 +10,16 @@
 
 
 class HolderToken(msgspec.Struct, frozen=True, kw_only=True, array_like=True, gc=False):
-    """The service, address and instance of the agent that holds a flow.
-
-    ``opening`` tells one opening of a flow id from another at that instance:
-    a balancer that was paused may deliver an old OPEN, and then old requests,
-    long after the flow was closed.
+    """The service, address and instance of the agent that owns a flow.
+
+    Attributes:
+        service: The service that the flow is for.
+        ip: The agent's IP address.
+        port: The agent's UDP port.
+        instance: Identifies the agent's instance.
+        opening: Distinguishes several openings of one flow id at that
+            instance: a delayed OPEN, and requests after it, may arrive long
+            after the flow was closed.
     """
 
     service: str
@@ -25,11 +30,11 @@
 
     @property
     def endpoint(self) -> tuple[str, int]:
-        """The agent's UDP address as sockets take it."""
+        """The agent's UDP address in the form that sockets take."""
         return (self.ip, self.port)
 
     def with_opening(self, opening: int) -> "HolderToken":
-        """Return a copy for that opening of a flow."""
+        """Return a copy for another opening of the flow."""
         return msgspec.structs.replace(self, opening=opening)
 
 
@@ -38,12 +43,12 @@
 
 
 def seal_token(token: HolderToken, *, flow: bytes, keys: KeyRing) -> bytes:
-    """Return the token's bytes, valid for this flow (16 bytes) only."""
+    """Return the signed token, valid only for this flow id (16 bytes)."""
     return keys.seal(_encode(token), purpose=TOKEN, bound_to=flow)
 
 
 def open_token(sealed: bytes, *, flow: bytes, keys: KeyRing) -> HolderToken | None:
-    """Return the token, or ``None`` if it is forged or of another flow."""
+    """Return the token, or ``None`` if it is invalid or for another flow."""
     body = keys.unseal(sealed, purpose=TOKEN, bound_to=flow)
     if body is None:
         return None
--- a/monsoonpier/model/waiting.py
+++ b/monsoonpier/model/waiting.py
@@ -1,13 +1,10 @@
-"""The order in which new flows wait for a slot: by what an answer is still worth.
+"""The order in which new flows wait for a slot.
 
-The load that it answers: more callers than slots, after an outage or in a burst.
-The callers of an outage are late whatever is done; served in the order of arrival
-they make everybody late who has asked since. So those go first whose answer can
-still be in time, the urgent ones before others and the one with the least time left
-first among equals. Late ones take what is left, the one that gives up first before
-the others, and one slot in a few is theirs in any case.
-
-Replayed on a service that had lost power (`tests/packets/test_recovery.py`).
+Under overload, as after an outage, callers that are late already would make
+all later ones late too if flows were served in order of arrival. So flows that
+can still be answered in time go first, by priority and then by least time
+left. Late flows get the remaining slots, the one whose caller gives up first
+before the others, and a fixed share of the slots in any case.
 """
 
 from bisect import bisect, bisect_left, insort
@@ -17,11 +14,9 @@
 
 __all__ = ["LATE_TURN", "MARGIN_RUNS", "RESERVED_AT", "WaitingFlow", "WaitingQueue"]
 
-# One slot in so many goes to the late one that gives up first, so that nobody is
-# starved by those in time. Each costs one of those its slot where all are taken.
-LATE_TURN = 16
-# Agents that a flow that waits reserves a slot at; one of them may end, or be the
-# fullest. Balancers and agents must agree on it.
+LATE_TURN = 16  # one slot in so many goes to a late flow, so that none starves
+# The number of agents at which a waiting flow reserves a slot, since one of
+# them may end. Balancers and agents must use the same value.
 RESERVED_AT = 2
 
 
@@ -30,11 +25,12 @@
     """A flow that waits.
 
     Attributes:
-        flow: Its addresses and ports.
-        in_time_until: When an answer stops being in time.
-        expires: When its caller is about to give up.
-        priority: Of its route; 0 goes first.
-        is_doubtful: Its caller may have left; it goes after all others.
+        flow: The flow's addresses and ports.
+        in_time_until: The time by which an answer meets the latency target.
+        expires: When the caller is about to give up.
+        priority: The priority of the route; 0 goes first.
+        is_doubtful: Whether the flow is presumed abandoned by its caller; it
+            then goes after all others.
     """
 
     flow: bytes
@@ -44,13 +40,12 @@
     is_doubtful: bool = False
 
 
-# Runs differ: one in two takes longer than the middle one. With a margin of one run
-# more those who go first because they are nearest to their aim are still in time: in
-# simulated time, a burst of four times the load, 0.821 of the worth against 0.816.
+# A flow counts as late when less time than so many service times is left. The
+# margin is above 1 since half of the runs take longer than the median.
 MARGIN_RUNS = 2.0
 
-_by_aim = attrgetter("in_time_until")
-_by_end = attrgetter("expires")
+_by_latency_target = attrgetter("in_time_until")
+_by_expiry = attrgetter("expires")
 
 
 class WaitingQueue:
@@ -71,43 +66,43 @@
 
     @property
     def flows(self) -> list[WaitingFlow]:
-        """All that wait, in no order."""
+        """All waiting flows, in no order."""
         return [waiting for flows in self._lists for waiting in flows]
 
     @property
     def timely(self) -> int:
-        """How many can still be answered in time, as of the last `sort_out`."""
+        """How many can be answered in time, as of the last `sort_out`."""
         return sum(map(len, self._timely_by_priority.values()))
 
     @property
     def certain(self) -> int:
-        """How many there are whose callers aren't doubtful."""
+        """How many are not presumed abandoned."""
         return self.timely + self.late
 
     @property
     def late(self) -> int:
-        """How many others there are."""
+        """How many can't be answered in time, as of the last `sort_out`."""
         return len(self._late)
 
     @property
     def doubtful(self) -> int:
-        """How many of them have a caller that may have left."""
+        """How many are presumed abandoned by their callers."""
         return len(self._doubtful)
 
     def add(self, waiting: WaitingFlow) -> None:
-        """Let a flow wait."""
+        """Add a flow."""
         if waiting.is_doubtful:
-            insort(self._doubtful, waiting, key=_by_end)
+            insort(self._doubtful, waiting, key=_by_expiry)
             return
         timely = self._timely_by_priority.setdefault(waiting.priority, [])
-        insort(timely, waiting, key=_by_aim)
+        insort(timely, waiting, key=_by_latency_target)
 
     def remove(self, waiting: WaitingFlow) -> None:
-        """Let a flow wait no longer."""
+        """Remove a flow."""
         self.remove_all({waiting.flow})
 
     def find(self, flow: bytes) -> WaitingFlow | None:
-        """Return what is known of a flow that waits here."""
+        """Return the waiting flow with this id, if there is one."""
         for flows in self._lists:
             for waiting in flows:
                 if waiting.flow == flow:
@@ -115,11 +110,11 @@
         return None
 
     def ahead(self, waiting: WaitingFlow, *, in_time: bool) -> int:
-        """Return how many would go before one more; late turns aren't counted."""
+        """Return how many flows would go before one more, without late turns."""
         if not in_time:
-            return self.timely + bisect(self._late, waiting.expires, key=_by_end)
+            return self.timely + bisect(self._late, waiting.expires, key=_by_expiry)
         return sum(
-            bisect(flows, waiting.in_time_until, key=_by_aim)
+            bisect(flows, waiting.in_time_until, key=_by_latency_target)
             if priority == waiting.priority
             else len(flows)
             for priority, flows in self._timely_by_priority.items()
@@ -127,48 +122,49 @@
         )
 
     def sort_out(self, *, now: float, run_seconds: float) -> None:
-        """Count those as late that can't be answered in time any more.
+        """Move flows that can't be answered in time any more to the late ones.
 
         Args:
             now: The present time.
-            run_seconds: From a slot to an answer, at the middle run.
+            run_seconds: The service time of a run.
         """
         until = now + MARGIN_RUNS * run_seconds
         for timely in self._timely_by_priority.values():
             count = 0
             while count < len(timely) and timely[count].in_time_until < until:
-                insort(self._late, timely[count], key=_by_end)
+                insort(self._late, timely[count], key=_by_expiry)
                 count += 1
             del timely[:count]
 
     def remove_all(self, gone: Collection[bytes]) -> None:
-        """Let these flows wait no longer."""
+        """Remove several flows."""
         for flows in self._lists:
             flows[:] = [other for other in flows if other.flow not in gone]
 
     def needed_late_share(self, *, now: float, seconds_each: float) -> float:
-        """Return the share of the slots with which all late ones can be served.
+        """Return the share of slots that is needed to serve all late flows.
 
         Args:
             now: The present time.
-            seconds_each: How long a slot takes that is given to one of them.
+            seconds_each: The time between two slots that come free for these
+                flows.
         """
         return max(
             (
-                (place + 1) * seconds_each / max(seconds_each, waiting.expires - now)
-                for place, waiting in enumerate(self._late)
+                (index + 1) * seconds_each / max(seconds_each, waiting.expires - now)
+                for index, waiting in enumerate(self._late)
             ),
             default=0.0,
         )
 
     @property
     def is_late_turn(self) -> bool:
-        """Whether `pop` would return a flow that can't be answered in time."""
+        """Whether `pop` would return a late flow."""
         is_turn = (self._turn + 1) % LATE_TURN == 0
         return bool(self._late) and (is_turn or not self.timely)
 
     def pop(self) -> WaitingFlow:
-        """Return the flow whose turn it is, which then no longer waits.
+        """Remove and return the next flow.
 
         Raises:
             LookupError: If none waits.
@@ -180,22 +176,22 @@
         return self._pop_timely(0) if self.timely else self._doubtful.pop(0)
 
     def pop_for(self, *, is_late_turn: bool, answered_at: float) -> WaitingFlow:
-        """Return the flow that a certain slot is best given to.
+        """Remove and return the flow that fits a particular slot best.
 
-        A doubtful one comes last of all. Slots of one service may differ in speed. One
-        that would be answered too late by a slow slot is left for a faster one, as
-        long as others wait.
+        Slots of a service differ in speed. A flow that this slot would answer
+        too late is left for a faster one while others wait. Flows presumed
+        abandoned come last.
 
         Args:
-            is_late_turn: Take a late one, if there is one.
-            answered_at: When this slot's answer may be expected.
+            is_late_turn: Whether to prefer a late flow.
+            answered_at: The time at which this slot's answer is expected.
 
         Raises:
             LookupError: If none waits.
         """
         if not is_late_turn:
             for _, flows in sorted(self._timely_by_priority.items()):
-                first = bisect_left(flows, answered_at, key=_by_aim)
+                first = bisect_left(flows, answered_at, key=_by_latency_target)
                 if first < len(flows):
                     return flows.pop(first)
         if self._late:
@@ -204,9 +200,9 @@
             return self._pop_timely(-1)
         return self._doubtful.pop(0)
 
-    def _pop_timely(self, place: int) -> WaitingFlow:
+    def _pop_timely(self, index: int) -> WaitingFlow:
         urgent = min(p for p, flows in self._timely_by_priority.items() if flows)
-        return self._timely_by_priority[urgent].pop(place)
+        return self._timely_by_priority[urgent].pop(index)
 
     @property
     def last(self) -> WaitingFlow | None:
@@ -219,7 +215,7 @@
         return self._timely_by_priority[max(priorities)][-1] if priorities else None
 
     def pop_expired(self, *, now: float) -> list[WaitingFlow]:
-        """Return those whose callers give up, which then no longer wait."""
+        """Remove and return the flows whose callers are about to give up."""
         gone: list[WaitingFlow] = []
         for flows in self._lists:
             expired = [waiting for waiting in flows if waiting.expires <= now]
--- a/monsoonpier/model/waiting_summary.py
+++ b/monsoonpier/model/waiting_summary.py
@@ -1,4 +1,4 @@
-"""How the callers of one class of work fare at one balancer, for operators."""
+"""Waiting times of one class of work at one balancer, for operators."""
 
 import msgspec
 
@@ -6,12 +6,12 @@
 
 
 class LatelySeen(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of new flows in the last while; fades, so not whole numbers.
+    """Recent new flows by their result. The counts decay, so they are fractions.
 
     Attributes:
-        served: Flows that a target took.
-        refused: Flows whose callers were told to go.
-        wait_seconds: What the served ones waited, together.
+        served: Flows that a target accepted.
+        refused: Flows that were rejected.
+        wait_seconds: The sum of the waits of the served flows.
     """
 
     served: float = 0.0
@@ -23,21 +23,23 @@
     """New flows of one service and priority at one balancer.
 
     Attributes:
-        service: What they are for.
-        priority: Of their route; 0 goes first.
-        aim_seconds: The latency that their callers want.
-        in_time: Those that wait and can still be answered in time.
-        late: Those that wait and can't.
-        oldest_seconds: Since the one that asked first did.
-        waited_seconds: Since each of them asked first, together.
-        expected_seconds: Until one more would get a slot, as far as this balancer
-            knows; ``None`` while no target serves.
+        service: The service of the flows.
+        priority: The priority of their route; 0 goes first.
+        aim_seconds: The latency target of their callers.
+        in_time: Waiting flows that can still be answered in time.
+        late: Waiting flows that can't.
+        oldest_seconds: The longest wait since a caller's first attempt.
+        waited_seconds: The sum of the waits since the callers' first attempts.
+        expected_seconds: How long one more flow would wait for a slot, as far
+            as this balancer knows; ``None`` while no target serves.
         asked: Flows so far.
-        served_late: Flows so far that a target took after their aim.
-        served_by_data_centre: Flows so far that a target took, by where it is.
-        refused_by_reason: Flows so far whose callers were told to go.
-        wait_seconds: What the served ones waited so far, together.
-        lately: The same of the last while.
+        served_late: Flows so far that a target accepted after their latency
+            target.
+        served_by_data_centre: Flows so far that a target accepted, by its data
+            centre.
+        refused_by_reason: Flows so far that were rejected.
+        wait_seconds: The sum of the waits of the served flows so far.
+        lately: The same counts for recent flows.
     """
 
     service: str
@@ -57,10 +59,10 @@
 
     @property
     def waiting(self) -> int:
-        """Those that wait now."""
+        """How many flows wait now."""
         return self.in_time + self.late
 
     @property
     def refused(self) -> int:
-        """Those refused so far."""
+        """How many flows were rejected so far."""
         return sum(self.refused_by_reason.values())
--- a/tests/agent/test_balancer_link.py
+++ b/tests/agent/test_balancer_link.py
@@ -1,4 +1,4 @@
-"""An agent that no balancer has answered yet."""
+"""Tests of an agent that no balancer has responded to."""
 
 import asyncio
 import random
@@ -35,7 +35,7 @@
 
 
 class CutOffTests(unittest.IsolatedAsyncioTestCase):
-    """Seeds are silent, since they are the last to start."""
+    """Seeds do not respond, since they start last."""
 
     async def asyncSetUp(self) -> None:
         self.store = FakeStore()
@@ -52,8 +52,8 @@
         )
 
     async def until_sent_to(self, endpoint: tuple[str, int]) -> int:
-        """Return how many announcements went elsewhere before."""
-        finding = asyncio.create_task(self.link._find_forever())
+        """Return how many announcements were sent elsewhere before."""
+        finding = asyncio.create_task(self.link._find_balancers_forever())
         self.addCleanup(finding.cancel)
         others = 0
         async with asyncio.timeout(LIMIT_SECONDS):
@@ -62,7 +62,7 @@
         return others
 
     async def test_balancers_of_the_store(self) -> None:
-        """Those that the store knows are told as soon as it has been read."""
+        """Registered balancers get announcements as soon as the store is read."""
         other = balancer("b2", host=2).peers.own
         value = FrameCodec(keys=KEYS).encode(other)
         put = Put(key=BALANCERS + "b2", value=value, lease=0)
@@ -71,7 +71,7 @@
         self.assertLessEqual(others, 2)
 
     async def test_store_away(self) -> None:
-        """While the store doesn't answer the seeds go on being told."""
+        """While the store doesn't respond, the seeds still get announcements."""
         gone = asyncio.Event()
 
         async def read(*args, **more):
--- a/tests/agent/test_witnesses.py
+++ b/tests/agent/test_witnesses.py
@@ -1,14 +1,18 @@
-"""Which balancers an agent heartbeats to."""
+"""Tests of the selection of balancers for heartbeats."""
 
 import unittest
 
-from monsoonpier.agent.witnesses import MISSED_LIMIT, WITNESSES, Witnesses
+from monsoonpier.agent.witnesses import (
+    MAX_MISSED_HEARTBEATS,
+    PEER_COUNT,
+    Witnesses,
+)
 from monsoonpier.wire.frames import HeartbeatAck
 from tests.rig import balancer
 
 
 class WitnessTests(unittest.TestCase):
-    """A few, however many balancers there are; dead ones are replaced."""
+    """A few balancers are selected, and dead ones replaced."""
 
     def _known(self, count: int, target: str = "maps-1") -> Witnesses:
         witnesses = Witnesses(target=target)
@@ -21,13 +25,13 @@
         witnesses.acknowledged(HeartbeatAck(**fields | more), now=1.0)
 
     def test_bounded(self):
-        """The number of heartbeats doesn't grow with the balancers."""
+        """The number of heartbeats doesn't grow with the number of balancers."""
         for count in (1, 2, 3, 10, 60):
             chosen = self._known(count).chosen(now=1.0)
-            self.assertEqual(len(chosen), min(WITNESSES, count))
+            self.assertEqual(len(chosen), min(PEER_COUNT, count))
 
     def test_spread(self):
-        """Different targets have different witnesses."""
+        """Different targets select different balancers."""
         chosen = {
             tuple(r.name for r in self._known(30, f"maps-{n}").chosen(now=1.0))
             for n in range(20)
@@ -35,18 +39,18 @@
         self.assertGreater(len(chosen), 15)
 
     def test_silent_witness_is_replaced(self):
-        """A balancer that misses several heartbeats gives way to another."""
+        """A balancer that misses several heartbeats is replaced by another."""
         witnesses = self._known(5)
         first = witnesses.chosen(now=1.0)[0].name
-        for _ in range(MISSED_LIMIT):
+        for _ in range(MAX_MISSED_HEARTBEATS):
             witnesses.beat(first, now=1.0)
         self.assertIn(first, [r.name for r in witnesses.chosen(now=1.0)])
         witnesses.beat(first, now=1.0)
         self.assertNotIn(first, [r.name for r in witnesses.chosen(now=1.0)])
-        self.assertEqual(len(witnesses.chosen(now=1.0)), WITNESSES)
+        self.assertEqual(len(witnesses.chosen(now=1.0)), PEER_COUNT)
 
     def test_announced_until_known(self):
-        """The whole record is sent until it is known, and again when it isn't."""
+        """The whole record is sent until it is acknowledged, and again once lost."""
         witnesses = self._known(1)
         self.assertTrue(witnesses.beat("b1", now=1.0))
         self._ack(witnesses, "b1")
@@ -55,7 +59,7 @@
         self.assertTrue(witnesses.beat("b1", now=1.0))
 
     def test_leaving_balancer_is_dropped(self):
-        """A balancer that says it leaves is no witness any more."""
+        """A balancer that reports it is leaving gets no more heartbeats."""
         witnesses = self._known(4)
         self._ack(witnesses, "b2", leaving=True)
         self.assertNotIn("b2", [r.name for r in witnesses.chosen(now=1.0)])
--- a/tests/model/test_evacuation.py
+++ b/tests/model/test_evacuation.py
@@ -1,4 +1,4 @@
-"""What is known of evacuations, in whatever order its words come."""
+"""Tests of evacuation orders that arrive in any order."""
 
 import unittest
 from itertools import permutations
@@ -15,7 +15,7 @@
 def order(
     place: str, revision: int, *, active: bool = True, generation: int = 0
 ) -> Evacuation:
-    """Return word of an order, or of its deletion."""
+    """Return an order, or its revocation."""
     return Evacuation(
         data_centre=place, revision=revision, is_active=active, generation=generation
     )
@@ -23,7 +23,7 @@
 
 @st.composite
 def histories(draw) -> list[Evacuation]:
-    """Return what one store went through: each revision changes one place."""
+    """Return the history of a store: each revision changes one data centre."""
     length = draw(st.integers(min_value=0, max_value=12))
     active: set[str] = set()
     history = []
@@ -49,10 +49,10 @@
 
 
 class EvacuationsTests(unittest.TestCase):
-    """The join of orders, and readings of the store."""
+    """Merges of orders, and reads of the store."""
 
     def test_order_and_deletion(self):
-        """The later of an order and its deletion holds, whichever comes first."""
+        """The later of an order and its deletion wins, whichever arrives first."""
         words = (order("dc-1", 5), order("dc-1", 9, active=False))
         for heard in (words, words[::-1]):
             with self.subTest(heard=heard):
@@ -62,28 +62,28 @@
                 self.assertFalse(known.is_evacuated("dc-1"))
 
     def test_nobodys_word(self):
-        """A place that nobody spoke of isn't evacuated."""
+        """A data centre without any order isn't evacuated."""
         known = Evacuations().joined((order("dc-1", 5),))
         self.assertFalse(known.is_evacuated("dc-2"))
         self.assertEqual(known.active, {"dc-1"})
 
     def test_reading_finds_deletion(self):
-        """An order that a later reading doesn't find has been deleted."""
+        """An order that a later read doesn't find has been deleted."""
         known = Evacuations().joined((order("dc-1", 5),))
         self.assertFalse(known.as_read({}, revision=at(8)).is_evacuated("dc-1"))
 
     def test_old_reading(self):
-        """A reading from before an order takes nothing back."""
+        """A read from before an order doesn't revoke it."""
         known = Evacuations().joined((order("dc-1", 5),))
         self.assertTrue(known.as_read({}, revision=at(4)).is_evacuated("dc-1"))
 
     def test_same_word_is_no_news(self):
-        """What is known already leaves the same value."""
+        """Updates that are known already leave the same object."""
         known = Evacuations().joined((order("dc-1", 5),))
         self.assertIs(known.joined((order("dc-1", 5), order("dc-1", 3))), known)
 
     def test_bounded(self):
-        """Places beyond the bound push out those that were taken back first."""
+        """Beyond the limit, revoked orders are dropped first."""
         words = [
             order(f"dc-{n}", n + 1, active=n < MAX_EVACUATIONS)
             for n in range(2 * MAX_EVACUATIONS)
@@ -95,10 +95,10 @@
     @given(histories(), st.data())
     @settings(max_examples=300, deadline=None, derandomize=True)
     def test_never_back(self, history, data):
-        """Whatever words and readings come, belief is of a revision never older.
+        """The known state never goes back, whatever updates and reads arrive.
 
-        What it tells of a place is what the store held at the newest revision that
-        the words heard so far speak of, or at a later one.
+        It is the store's state at the newest revision that any of them was of,
+        or at a later one.
         """
         known = Evacuations()
         newest_by_place: dict[str, int] = {}
@@ -122,7 +122,7 @@
     @given(histories(), st.randoms(use_true_random=False))
     @settings(max_examples=200, deadline=None, derandomize=True)
     def test_any_order_and_twice(self, history, shuffle):
-        """The same words in any order, and more than once, give the same."""
+        """The same updates in any order, also repeated, give the same state."""
         words = history + history[::2]
         shuffle.shuffle(words)
         known = Evacuations()
@@ -133,9 +133,9 @@
 
 @st.composite
 def restored_histories(draw) -> tuple[list[Evacuation], list[Evacuation]]:
-    """Return what a store went through until it came back from a copy, and since.
+    """Return the history of a store until a restore from a backup, and after it.
 
-    Its changes since have numbers that were given out before.
+    Revision numbers after the restore were used before it.
     """
     before = draw(histories())
     copied = before[: draw(st.integers(0, len(before)))]
@@ -152,10 +152,10 @@
 
 
 class ReturnTests(unittest.TestCase):
-    """The store comes back from a copy; its numbers stand for other changes."""
+    """The store is restored from a backup, and its numbers are used again."""
 
     def test_smaller_number_of_a_newer_generation(self):
-        """An order after the return is believed and taken back, in any order heard."""
+        """An order after the restore is accepted and revoked, in any order."""
         words = (
             order("dc-1", 70, active=False),
             order("dc-1", 61, generation=1),
@@ -170,13 +170,13 @@
                     self.assertIs(known.is_evacuated("dc-1"), expected)
 
     def test_word_of_a_process_that_knows_no_generation(self):
-        """During an upgrade words without one are of generation 0, on the wire too."""
+        """Updates without a generation, sent during upgrades, have generation 0."""
         raw = msgspec.msgpack.encode(["dc-1", 70, True])
         word = msgspec.msgpack.decode(raw, type=Evacuation)
         self.assertEqual(word, order("dc-1", 70))
 
     def test_not_yet_written_again(self):
-        """An order that the copy lacks stays until a conclusive reading."""
+        """An order that the backup lacks stays in force until a conclusive read."""
         known = Evacuations().joined((order("dc-1", 70),))
         reading = at(60, generation=1)
         kept = known.as_read({}, revision=reading, is_conclusive=False)
@@ -184,7 +184,7 @@
         self.assertFalse(kept.as_read({}, revision=reading).is_evacuated("dc-1"))
 
     def test_told_before_conclusion(self):
-        """Who starts meanwhile takes a peer's word of such an order, not afterwards."""
+        """A new process accepts such an order from a peer until a conclusive read."""
         reading = at(60, generation=1)
         words = (order("dc-1", 70), order("dc-2", 59, generation=1))
         fresh = Evacuations().as_read({}, revision=reading, is_conclusive=False)
@@ -193,7 +193,7 @@
         self.assertEqual(later.joined(words).active, set())
 
     def test_in_the_copy(self):
-        """An order that was taken back is in force again if the copy has it."""
+        """A revoked order is in force again if the backup has it."""
         known = Evacuations().joined((order("dc-1", 70, active=False),))
         found = {"dc-1": at(50, generation=1)}
         known = known.as_read(found, revision=at(60, generation=1), is_conclusive=False)
@@ -202,9 +202,10 @@
     @given(restored_histories(), st.data())
     @settings(max_examples=300, deadline=None, derandomize=True)
     def test_any_order_across_a_return(self, both, data):
-        """Words and readings of both generations come in any order and twice.
+        """Updates and reads of both generations arrive in any order and repeatedly.
 
-        Belief is what the store held at the newest revision that they speak of.
+        The known state is the store's at the newest revision that any of them
+        was of.
         """
         known = Evacuations()
         newest_by_place: dict[str, Revision] = {}
--- a/tests/model/test_waiting.py
+++ b/tests/model/test_waiting.py
@@ -1,4 +1,4 @@
-"""The order in which new flows wait for a slot."""
+"""Tests of the order in which new flows wait for a slot."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class WaitingQueueTests(unittest.TestCase):
-    """Who goes first, and that nobody is forgotten."""
+    """Which flow goes first, and that none starves."""
 
     def setUp(self) -> None:
         self.queue = WaitingQueue()
@@ -34,17 +34,17 @@
         return [self.queue.pop().flow.decode() for _ in range(len(self.queue))]
 
     def test_in_time_before_late(self) -> None:
-        """Who can still be answered in time goes before who can't."""
+        """Flows that can be answered in time go before late ones."""
         self.add(waiting("late", aim=MARGIN / 2), waiting("timely", aim=1.0))
         self.assertEqual(self.order(), ["timely", "late"])
 
     def test_least_time_left_first(self) -> None:
-        """Among those in time the one nearest to its aim goes first."""
+        """Among flows in time, the one with the least time left goes first."""
         self.add(waiting("b", aim=2.0), waiting("a", aim=1.0), waiting("c", aim=3.0))
         self.assertEqual(self.order(), ["a", "b", "c"])
 
     def test_urgent_first(self) -> None:
-        """An urgent one in time goes before others, a late one doesn't."""
+        """An urgent flow goes before others if it is in time, but not if late."""
         self.add(
             waiting("usual", aim=1.0, priority=2),
             waiting("urgent", aim=2.0, priority=1),
@@ -53,7 +53,7 @@
         self.assertEqual(self.order(), ["urgent", "usual", "late"])
 
     def test_late_by_their_end(self) -> None:
-        """Late ones go by when their callers give up."""
+        """Late flows go by the time at which their callers give up."""
         self.add(
             waiting("a", aim=0.0, end=3.0),
             waiting("b", aim=0.0, end=1.0),
@@ -62,20 +62,20 @@
         self.assertEqual(self.order(), ["b", "c", "a"])
 
     def test_becomes_late(self) -> None:
-        """Time makes a waiting one late; then it goes after those in time."""
+        """A flow that becomes late goes after those in time."""
         self.add(waiting("old", aim=1.0))
         self.add(waiting("new", aim=2.0), now=1.0)
         self.assertEqual((self.queue.timely, self.queue.late), (1, 1))
         self.assertEqual(self.order(), ["new", "old"])
 
     def test_nobody_starves(self) -> None:
-        """However many are in time, one slot in eight is a late one's."""
+        """One slot in `LATE_TURN` is for a late flow, however many are in time."""
         self.add(waiting("late", aim=0.0))
         self.add(*(waiting(f"t{n}", aim=1.0 + n) for n in range(50)))
         self.assertEqual(self.order().index("late"), LATE_TURN - 1)
 
     def test_expired(self) -> None:
-        """Those whose callers give up leave the queue."""
+        """Flows whose callers give up leave the queue."""
         self.add(
             waiting("a", aim=0.0, end=1.0),
             waiting("b", aim=5.0, end=1.0),
@@ -86,7 +86,7 @@
         self.assertEqual(self.order(), ["c"])
 
     def test_last(self) -> None:
-        """The last one is the late one that gives up last, if there is one."""
+        """The last flow is the late one that expires last, if there is one."""
         self.assertIsNone(self.queue.last)
         self.add(waiting("usual", aim=2.0, priority=2), waiting("urgent", aim=3.0))
         self.assertEqual(self.queue.last.flow, b"usual")
