--- a/monsoonpier/agent/balancer_link.py
+++ b/monsoonpier/agent/balancer_link.py
@@ -120,7 +120,7 @@
         if condition is not self.record.condition:
             self.record = self.record.with_condition(condition)
         self._witnesses.announce_to_all()
-        for balancer in self._witnesses.chosen(now=_now()):
+        for balancer in self._witnesses.select(now=_now()):
             self._send(self._announcement(), balancer.endpoint)
 
     def set_instance(self, instance: bytes, *, slots: int) -> None:
@@ -146,7 +146,7 @@
         A response under an older configuration than the agent's does not
         reject the target.
         """
-        self._witnesses.acknowledged(ack, now=_now())
+        self._witnesses.record_ack(ack, now=_now())
         self._apply_evacuation(ack)
         epoch = self._witnesses.epoch_beyond(ack, epoch=self.record.epoch)
         if epoch is not None:
@@ -183,8 +183,8 @@
             beats += 1
             if beats % ANNOUNCE_EVERY == 0:
                 self._witnesses.announce_to_all()
-            for balancer in self._witnesses.chosen(now=_now()):
-                announce = self._witnesses.beat(balancer.name, now=_now())
+            for balancer in self._witnesses.select(now=_now()):
+                announce = self._witnesses.count_heartbeat(balancer.name, now=_now())
                 frame = self._announcement() if announce else self._heartbeat()
                 self._send(frame, balancer.endpoint)
             # Spreads the heartbeats of agents that started together.
--- a/monsoonpier/agent/packets/flows.py
+++ b/monsoonpier/agent/packets/flows.py
@@ -37,7 +37,8 @@
             owns the flow; ``None`` once the target has answered, or if the
             agent saw the flow open.
         phase: Whether the flow uses a slot.
-        asks: Whether the balancer keeps a copy of the probe packet itself.
+        balancer_keeps_packet: Whether the balancer that sent the probe packet
+            keeps it too.
         run_began_at: When the target began to work on the flow's request;
             ``None`` while the request waits at the target.
         is_overdue: Whether the request was counted as failed since its answer
@@ -59,7 +60,7 @@
     is_open: bool = False
     probe_packet: Packet | None = None
     phase: Phase = Phase.IDLE
-    asks: bool = False
+    balancer_keeps_packet: bool = False
     run_began_at: float | None = None
     is_overdue: bool = False
     kept_seconds_at_start: float = 0.0
--- a/monsoonpier/agent/packets/holder.py
+++ b/monsoonpier/agent/packets/holder.py
@@ -52,7 +52,7 @@
 MAX_SERVED_ADDRESSES = 64
 # How long queries wait for the target's first heartbeat after the agent's
 # start. A target that gets no response repeats its heartbeat every 100 ms.
-MEET_SECONDS = 0.25
+MAX_QUERY_WAIT_SECONDS = 0.25
 MAX_PENDING_QUERIES = 256
 
 
@@ -135,7 +135,7 @@
         return len(self._flows_by_address)
 
     @property
-    def has_met_target(self) -> bool:
+    def has_seen_target(self) -> bool:
         """Whether the target has sent a heartbeat or listened since the start."""
         return (
             bool(self._target_state.instance)
@@ -161,14 +161,14 @@
         """
         state = self._target_state
         if state.is_replaced_by(instance):
-            resets = self.ended(now=now)
+            resets = self.target_ended(now=now)
             state.start(instance, now=now)
             return resets
         if not state.instance:
             state.observe_first(instance, is_first=is_first, is_young=is_young, now=now)
         return []
 
-    def absent(self, *, now: float) -> None:
+    def note_no_listener(self, *, now: float) -> None:
         """Record that nothing listens at the target's address.
 
         This is ignored after a heartbeat. A VM may run without a target: one
@@ -179,7 +179,7 @@
         ):
             self._log.note("no target is listening", now=now)
 
-    def ended(self, *, now: float) -> list:
+    def target_ended(self, *, now: float) -> list:
         """Return resets for the open flows, since the target has ended.
 
         Flows that are not open here may have been opened at another target, so
@@ -208,43 +208,43 @@
     # Packets of callers
 
     def ask(
-        self, question: Whose, *, sender: tuple[str, int], now: float
+        self, query: Whose, *, sender: tuple[str, int], now: float
     ) -> list[ToProcess]:
         """Answer a balancer's query for owners now, or once the target is known."""
         if self._target_state.instance or self._target_state.knows_all_flows:
-            return [ToProcess(endpoint=sender, frame=self.answer(question, now=now))]
+            return [ToProcess(endpoint=sender, frame=self.answer(query, now=now))]
         if not self._pending_queries:
             self._first_query_at = now
-        self._pending_queries.append((sender, question))
+        self._pending_queries.append((sender, query))
         return []
 
     def answer_pending(self, *, now: float) -> list[ToProcess]:
-        """Answer the pending queries if the target is known or too late."""
+        """Answer the pending queries once the target is known or takes too long."""
         if (
             not self._target_state.instance
-            and now - self._first_query_at < MEET_SECONDS
+            and now - self._first_query_at < MAX_QUERY_WAIT_SECONDS
         ):
             return []
-        kept = [
-            ToProcess(endpoint=sender, frame=self.answer(question, now=now))
-            for sender, question in self._pending_queries
+        replies = [
+            ToProcess(endpoint=sender, frame=self.answer(query, now=now))
+            for sender, query in self._pending_queries
         ]
         self._pending_queries.clear()
-        return kept
+        return replies
 
-    def answer(self, question: Whose, *, now: float) -> Holds:
+    def answer(self, query: Whose, *, now: float) -> Holds:
         """Return which of the queried flows the target owns."""
-        held = tuple(flow for flow in question.flows if self._owns(flow))
+        owned = tuple(flow for flow in query.flows if self._owns(flow))
         # The target never owns flows of another service.
         is_sure = (
             self._target_state.knows_all_flows
             or self.condition is Condition.GONE
-            or question.service != self._service
+            or query.service != self._service
         )
         return Holds(
-            question=question.question,
+            question=query.question,
             agent=self._name,
-            held=held,
+            held=owned,
             is_sure=is_sure,
             run_ms=self._target_state.run_ms(now=now),
             is_absent=self.is_absent,
@@ -253,7 +253,7 @@
     @property
     def is_absent(self) -> bool:
         """Whether nothing has listened at the target's address so far."""
-        return not self.has_met_target and self._target_state.is_absent
+        return not self.has_seen_target and self._target_state.is_absent
 
     def _owns(self, address: bytes) -> bool:
         flow = self._flows_by_address.get(address)
@@ -284,7 +284,7 @@
         return self._update_accounting(self._admission.admit_queued(now=now), now=now)
 
     def _update_accounting(self, actions: list, *, now: float) -> list:
-        """Record which balancers these actions tell the load, and slot use."""
+        """Record the use of slots, and which balancers these actions notify."""
         for action in actions:
             match action:
                 case ToProcess(
@@ -357,14 +357,14 @@
         first = flow.target_sequence
         if first is None or not packet.is_ack:
             return self._not_owned_reply(
-                packet, sender=sender, now=now, asks=frame.asks
+                packet, sender=sender, now=now, omit_payload=frame.asks
             )
         if sequence_distance(first, packet.acknowledged) > MAX_OPENING_BYTES:
             # A retransmission of the SYN has opened the flow at another
             # target.
             self._remove(packet.flow, now=now)
             return self._not_owned_reply(
-                packet, sender=sender, now=now, asks=frame.asks
+                packet, sender=sender, now=now, omit_payload=frame.asks
             )
         self._admission.record_response_time(now - flow.phase_began_at)
         self._mark_open(packet.flow, flow, now=now)
@@ -402,7 +402,7 @@
         has_ended = self.condition is Condition.GONE
         if self._target_state.knows_all_flows or has_ended or not may_be_owned:
             return self._not_owned_reply(
-                packet, sender=sender, now=now, asks=frame.asks
+                packet, sender=sender, now=now, omit_payload=frame.asks
             )
         self._flows_by_address[packet.flow] = PacketFlow(
             caller_ip=packet.caller_ip,
@@ -411,10 +411,10 @@
             phase_began_at=now,
             acknowledged=packet.acknowledged,
             probe_packet=packet,
-            asks=frame.asks,
+            balancer_keeps_packet=frame.asks,
         )
         self.counts_by_result["guessed"] += 1
-        self._log.note("unknown flow probed", now=now, flow=packet.flow)
+        self._log.note("unknown flow probed at the target", now=now, flow=packet.flow)
         return [ToTarget(raw=packet.raw)]
 
     # Packets of the target
@@ -483,7 +483,10 @@
         self._remove(packet.flow, now=now)
         if flow.probe_packet is not None:
             return self._not_owned_reply(
-                flow.probe_packet, sender=flow.balancer, now=now, asks=flow.asks
+                flow.probe_packet,
+                sender=flow.balancer,
+                now=now,
+                omit_payload=flow.balancer_keeps_packet,
             )
         return [_to_caller(packet)]
 
@@ -514,7 +517,10 @@
             return [self._admission.reject(syn, "the target refused it", now=now)]
         self._remove(packet.flow, now=now)
         return self._not_owned_reply(
-            packet, sender=flow.balancer, now=now, asks=flow.asks
+            packet,
+            sender=flow.balancer,
+            now=now,
+            omit_payload=flow.balancer_keeps_packet,
         )
 
     # Time
@@ -543,7 +549,7 @@
         return self._admission.is_waiting
 
     def expire(self, *, now: float) -> list:
-        """Give slots kept for silent callers to waiting flows."""
+        """Give slots replies for silent callers to waiting flows."""
         return self._update_accounting(self._admission.expire(now=now), now=now)
 
     def _check_run_timeout(self, flow: PacketFlow, *, now: float) -> None:
@@ -573,18 +579,18 @@
         *,
         sender: tuple[str, int],
         now: float,
-        asks: bool = False,
+        omit_payload: bool = False,
     ) -> list:
         self.counts_by_result["denied"] += 1
         self._log.note(
-            "flow not owned",
+            "flow not owned by the target",
             now=now,
             flow=packet.flow,
             knows_all=self._target_state.knows_all_flows,
         )
         if not sender[1]:
             return []  # No balancer sent it: the flow was learned from the target.
-        payload = b"" if asks else packet.raw
+        payload = b"" if omit_payload else packet.raw
         frame = NotHeld(agent=self._name, flow=packet.flow, payload=payload)
         return [ToProcess(endpoint=sender, frame=frame)]
 
--- a/monsoonpier/agent/packets/process.py
+++ b/monsoonpier/agent/packets/process.py
@@ -50,12 +50,12 @@
 __all__ = ["PacketAgentProcess"]
 
 TICK_SECONDS = 0.1
-LOOK_SECONDS = 0.01  # between checks for expired slots while new flows wait
+EXPIRY_CHECK_SECONDS = 0.01  # between checks for expired slots while new flows wait
 REPORT_SECONDS = 0.003  # within which changes of load go into one report
-FAREWELLS = 2  # repetitions of the last announcement, since datagrams get lost
-FAREWELL_SECONDS = 0.05  # between them
+GONE_REPEATS = 2  # of the last announcement, since datagrams get lost
+GONE_REPEAT_SECONDS = 0.05
 MAX_HEARTBEAT_DELAY_SECONDS = 1.0  # from the target, on the same machine
-MAX_LEAVE_SECONDS = 2.5  # for requests in flight; long flows don't end by themselves
+MAX_SHUTDOWN_SECONDS = 2.5  # for requests in flight; long flows don't end by themselves
 # A margin above the time after which a target counts as absent. It must stay
 # within the six seconds that a process has to stop.
 MAX_ABSENT_SECONDS = ABSENT_SECONDS + 0.5
@@ -134,7 +134,7 @@
         self._report_timer: asyncio.TimerHandle | None = None
         self._expiry_timer: asyncio.TimerHandle | None = None
         self._instances = InstanceHistory()
-        self._has_left = False
+        self._has_target_left = False
         self._gone_at = 0.0
         self._cold_limit_version = 0  # the configuration that the limit is from
         self._dropped_by_reason: dict[str, int] = {}
@@ -161,13 +161,13 @@
         await self._web.start()
         self._life.install_signals()
         _log.info("started", target=str(self._target))
-        jobs = (
+        tasks = (
             self._control.run,
             self._tick_forever,
             self._link.run,
             self._liveness.run,
         )
-        await run_until_left(self._leave_and_finish, jobs)
+        await run_until_left(self._shut_down, tasks)
         await self._store.close()
         await self._web.stop()
         self._control.stop()
@@ -175,13 +175,13 @@
         self._outbound.close()
         _log.info("stopped", **self._holder.target_load.use.total.fields)
 
-    async def _leave_and_finish(self) -> None:
+    async def _shut_down(self) -> None:
         await self._life.wait_for_leaving()
         began = _now()
-        if self._has_left:
+        if self._has_target_left:
             # The target has left, and agents are stopped only after it has
             # ended.
-            self._perform(self._holder.ended(now=_now()))
+            self._perform(self._holder.target_ended(now=_now()))
             await self._announce_gone()
         elif await self._wait_until_absent():
             await self._announce_gone()
@@ -189,14 +189,14 @@
             # The target may keep running, and another agent may start beside
             # it.
             self._set_condition(Condition.SHEDDING)
-        while self._holder.busy and _now() - began < MAX_LEAVE_SECONDS:
+        while self._holder.busy and _now() - began < MAX_SHUTDOWN_SECONDS:
             await asyncio.sleep(0.02)
         self._life.step("finished")
 
     async def _announce_gone(self) -> None:
         self._set_condition(Condition.GONE)
-        for _ in range(FAREWELLS):
-            await asyncio.sleep(FAREWELL_SECONDS)
+        for _ in range(GONE_REPEATS):
+            await asyncio.sleep(GONE_REPEAT_SECONDS)
             self._link.announce(Condition.GONE)
 
     async def _wait_until_absent(self) -> bool:
@@ -208,7 +208,7 @@
         certainty and then announces the target as gone.
         """
         until = _now() + MAX_ABSENT_SECONDS
-        while not (self._holder.has_met_target or self._holder.has_no_target):
+        while not (self._holder.has_seen_target or self._holder.has_no_target):
             if _now() > until:
                 break  # The address no longer answers at all.
             await asyncio.sleep(ABSENT_CHECK_SECONDS)
@@ -244,8 +244,8 @@
         holder.target_load.slots = heartbeat.slots
         holder.target_load.set_cold_until(_now() + heartbeat.cold_seconds)
         self._life.step("configured")
-        is_late = _now() - self._gone_at < MAX_HEARTBEAT_DELAY_SECONDS
-        if not is_new and is_late and holder.condition is Condition.UNRESPONSIVE:
+        may_be_delayed = _now() - self._gone_at < MAX_HEARTBEAT_DELAY_SECONDS
+        if not is_new and may_be_delayed and holder.condition is Condition.UNRESPONSIVE:
             return True  # Sent before the target ended.
         condition = Condition.LEAVING if heartbeat.is_draining else Condition.SERVING
         if self._life.state == "leaving" and not heartbeat.is_draining:
@@ -255,7 +255,7 @@
 
     @property
     def _has_target_ended(self) -> bool:
-        return self._has_left or self._holder.condition is Condition.UNRESPONSIVE
+        return self._has_target_left or self._holder.condition is Condition.UNRESPONSIVE
 
     def _begin_instance(self, heartbeat: TargetAnnouncement) -> None:
         """Serve a new instance of the target, and discard the state of the last."""
@@ -267,7 +267,7 @@
             sequence=heartbeat.sequence,
             cold_seconds=heartbeat.cold_seconds,
         )
-        self._has_left = False
+        self._has_target_left = False
         self._link.set_instance(instance, slots=heartbeat.slots)
         resets = self._holder.started(
             instance,
@@ -282,7 +282,7 @@
         instance = notice.run.instance.decode()
         if self._instances.is_current(notice.run):
             _log.info("target left", instance=instance)
-            self._has_left = True
+            self._has_target_left = True
             # The target keeps running for a moment after it has stopped
             # listening. Its flows may be open until its VM is stopped.
             self._set_condition(Condition.LEAVING)
@@ -306,16 +306,16 @@
         A target that is leaving is an exception: it may have stopped listening
         only.
         """
-        if self._has_left or self._holder.condition is Condition.UNRESPONSIVE:
+        if self._has_target_left or self._holder.condition is Condition.UNRESPONSIVE:
             return
         if self._holder.condition is Condition.LEAVING:
             # Its leave notice may have been lost. It may keep running without
             # listening, and own flows, until its VM is stopped.
-            self._has_left = True
+            self._has_target_left = True
             _log.info("draining target does not listen")
             return
         self._gone_at = _now()
-        resets = self._holder.ended(now=self._gone_at)
+        resets = self._holder.target_ended(now=self._gone_at)
         _log.warning("target does not listen", flows=len(resets))
         self._set_condition(Condition.UNRESPONSIVE)
         self._perform(resets)
@@ -326,7 +326,7 @@
         Balancers are told unasked: a VM that starts without its target after a
         loss of power may be stopped before a balancer queries it.
         """
-        self._holder.absent(now=_now())
+        self._holder.note_no_listener(now=_now())
         if self._holder.is_absent and not self._link.record.is_absent:
             self._link.announce_no_target()
 
@@ -413,7 +413,7 @@
 
         if self._expiry_timer is None and self._holder.is_waiting:
             loop = asyncio.get_running_loop()
-            self._expiry_timer = loop.call_later(LOOK_SECONDS, self._run_expiry)
+            self._expiry_timer = loop.call_later(EXPIRY_CHECK_SECONDS, self._run_expiry)
 
     def _run_expiry(self) -> None:
         self._expiry_timer = None
--- a/monsoonpier/agent/packets/reservations.py
+++ b/monsoonpier/agent/packets/reservations.py
@@ -30,7 +30,9 @@
 
 MAX_RESERVATIONS = 512  # of one agent
 OFFER_SECONDS = 0.02  # several round trips to a balancer in the same region
-MOST_PASSED = 2  # unanswered offers in a row after which reservations are removed
+MAX_UNANSWERED_OFFERS = (
+    2  # unanswered offers in a row after which reservations are removed
+)
 # Late flows get the share of slots that serves all of them, up to this share.
 # If they need more, not all can be served, and their slots make others late
 # too.
@@ -159,7 +161,11 @@
         # Several offers that expire together count once.
         self._unanswered_by_balancer.update(set(passed))
         self._remove_balancers(
-            {b for b in passed if self._unanswered_by_balancer[b] >= MOST_PASSED}
+            {
+                b
+                for b in passed
+                if self._unanswered_by_balancer[b] >= MAX_UNANSWERED_OFFERS
+            }
         )
         return passed
 
--- a/monsoonpier/agent/witnesses.py
+++ b/monsoonpier/agent/witnesses.py
@@ -55,7 +55,7 @@
         peer = self._peers_by_name.get(name)
         return peer.record if peer else None
 
-    def chosen(self, *, now: float) -> list[BalancerRecord]:
+    def select(self, *, now: float) -> list[BalancerRecord]:
         """Return the balancers to send heartbeats to now."""
         ready = [
             name
@@ -70,7 +70,7 @@
         peers = list(self._peers_by_name.values())
         return [peer.record for peer in draw.sample(peers, min(count, len(peers)))]
 
-    def beat(self, name: str, *, now: float) -> bool:
+    def count_heartbeat(self, name: str, *, now: float) -> bool:
         """Count a heartbeat to be sent; return whether to announce instead."""
         peer = self._peers_by_name[name]
         peer.missed += 1
@@ -80,7 +80,7 @@
             peer.has_record = False
         return not peer.has_record
 
-    def acknowledged(self, ack: HeartbeatAck, *, now: float) -> None:
+    def record_ack(self, ack: HeartbeatAck, *, now: float) -> None:
         """Process a balancer's response to a heartbeat or an announcement."""
         for record in ack.balancers:
             self.learn(record)
--- a/tests/agent/test_witnesses.py
+++ b/tests/agent/test_witnesses.py
@@ -22,18 +22,18 @@
 
     def _ack(self, witnesses: Witnesses, name: str, **more) -> None:
         fields = {"balancer": name, "version": 1, "known": True, "allowed": True}
-        witnesses.acknowledged(HeartbeatAck(**fields | more), now=1.0)
+        witnesses.record_ack(HeartbeatAck(**fields | more), now=1.0)
 
     def test_bounded(self):
         """The number of heartbeats doesn't grow with the number of balancers."""
         for count in (1, 2, 3, 10, 60):
-            chosen = self._known(count).chosen(now=1.0)
+            chosen = self._known(count).select(now=1.0)
             self.assertEqual(len(chosen), min(PEER_COUNT, count))
 
     def test_spread(self):
         """Different targets select different balancers."""
         chosen = {
-            tuple(r.name for r in self._known(30, f"maps-{n}").chosen(now=1.0))
+            tuple(r.name for r in self._known(30, f"maps-{n}").select(now=1.0))
             for n in range(20)
         }
         self.assertGreater(len(chosen), 15)
@@ -41,26 +41,26 @@
     def test_silent_witness_is_replaced(self):
         """A balancer that misses several heartbeats is replaced by another."""
         witnesses = self._known(5)
-        first = witnesses.chosen(now=1.0)[0].name
+        first = witnesses.select(now=1.0)[0].name
         for _ in range(MAX_MISSED_HEARTBEATS):
-            witnesses.beat(first, now=1.0)
-        self.assertIn(first, [r.name for r in witnesses.chosen(now=1.0)])
-        witnesses.beat(first, now=1.0)
-        self.assertNotIn(first, [r.name for r in witnesses.chosen(now=1.0)])
-        self.assertEqual(len(witnesses.chosen(now=1.0)), PEER_COUNT)
+            witnesses.count_heartbeat(first, now=1.0)
+        self.assertIn(first, [r.name for r in witnesses.select(now=1.0)])
+        witnesses.count_heartbeat(first, now=1.0)
+        self.assertNotIn(first, [r.name for r in witnesses.select(now=1.0)])
+        self.assertEqual(len(witnesses.select(now=1.0)), PEER_COUNT)
 
     def test_announced_until_known(self):
         """The whole record is sent until it is acknowledged, and again once lost."""
         witnesses = self._known(1)
-        self.assertTrue(witnesses.beat("b1", now=1.0))
+        self.assertTrue(witnesses.count_heartbeat("b1", now=1.0))
         self._ack(witnesses, "b1")
-        self.assertFalse(witnesses.beat("b1", now=1.0))
+        self.assertFalse(witnesses.count_heartbeat("b1", now=1.0))
         self._ack(witnesses, "b1", known=False)
-        self.assertTrue(witnesses.beat("b1", now=1.0))
+        self.assertTrue(witnesses.count_heartbeat("b1", now=1.0))
 
     def test_leaving_balancer_is_dropped(self):
         """A balancer that reports it is leaving gets no more heartbeats."""
         witnesses = self._known(4)
         self._ack(witnesses, "b2", leaving=True)
-        self.assertNotIn("b2", [r.name for r in witnesses.chosen(now=1.0)])
+        self.assertNotIn("b2", [r.name for r in witnesses.select(now=1.0)])
         self.assertTrue(witnesses.is_cut_off)
--- a/tests/packets/test_agent_process.py
+++ b/tests/packets/test_agent_process.py
@@ -82,7 +82,7 @@
         self.process._target_gone()
         self.assertIs(self.holder.condition, Condition.LEAVING)
         self.process._life.step("terminate")
-        await asyncio.wait_for(self.process._leave_and_finish(), 5)
+        await asyncio.wait_for(self.process._shut_down(), 5)
         self.assertIs(self.holder.condition, Condition.GONE)
 
     async def test_given_up_without_a_target(self) -> None:
@@ -92,24 +92,24 @@
         owned.
         """
         now = time.monotonic()
-        self.holder.absent(now=now)
+        self.holder.note_no_listener(now=now)
         self.process._life.step("terminate")
-        leaving = asyncio.create_task(self.process._leave_and_finish())
+        leaving = asyncio.create_task(self.process._shut_down())
         await asyncio.sleep(0.1)
         self.assertIs(self.holder.condition, Condition.STARTING)
         self.assertFalse(leaving.done())
-        self.holder.absent(now=now + ABSENT_SECONDS)
+        self.holder.note_no_listener(now=now + ABSENT_SECONDS)
         await asyncio.wait_for(leaving, 5)
         self.assertIs(self.holder.condition, Condition.GONE)
 
     async def test_given_up_before_it_looked(self) -> None:
         """An agent that is stopped before its first check waits for certainty."""
         self.process._life.step("terminate")
-        leaving = asyncio.create_task(self.process._leave_and_finish())
+        leaving = asyncio.create_task(self.process._shut_down())
         await asyncio.sleep(0.05)
         self.assertFalse(leaving.done())
-        self.holder.absent(now=time.monotonic() - ABSENT_SECONDS)
-        self.holder.absent(now=time.monotonic())
+        self.holder.note_no_listener(now=time.monotonic() - ABSENT_SECONDS)
+        self.holder.note_no_listener(now=time.monotonic())
         await asyncio.wait_for(leaving, 5)
         self.assertIs(self.holder.condition, Condition.GONE)
 
@@ -125,17 +125,17 @@
 
     async def test_given_up_while_the_target_is_not_reached(self) -> None:
         """An agent stops in time although the target's address doesn't answer."""
-        self.holder.absent(now=time.monotonic())
+        self.holder.note_no_listener(now=time.monotonic())
         self.process._life.step("terminate")
         with mock.patch.object(agent_process, "MAX_ABSENT_SECONDS", 0.1):
-            await asyncio.wait_for(self.process._leave_and_finish(), 2)
+            await asyncio.wait_for(self.process._shut_down(), 2)
         self.assertIs(self.holder.condition, Condition.SHEDDING)
 
     async def test_given_up_while_a_target_comes(self) -> None:
         """A target that appears in the meantime may keep running."""
-        self.holder.absent(now=time.monotonic())
+        self.holder.note_no_listener(now=time.monotonic())
         self.process._life.step("terminate")
-        leaving = asyncio.create_task(self.process._leave_and_finish())
+        leaving = asyncio.create_task(self.process._shut_down())
         await asyncio.sleep(0.05)
         self.process.take(heartbeat())
         await asyncio.wait_for(leaving, 5)
@@ -149,7 +149,7 @@
         self.process.take(heartbeat())
         self.process.take(heartbeat(is_draining=True, sequence=2))
         ended: list = []
-        self.holder.ended = lambda *, now: ended.append(now) or []
+        self.holder.target_ended = lambda *, now: ended.append(now) or []
         self.process._target_gone()
         self.assertEqual(ended, [])
         self.assertIs(self.holder.condition, Condition.LEAVING)
@@ -223,7 +223,7 @@
         """The callers of the earlier instance's flows are reset at once."""
         self.hear(born=1_000, sequence=70)
         ended: list = []
-        self.holder.ended = lambda *, now: ended.append(now) or []
+        self.holder.target_ended = lambda *, now: ended.append(now) or []
         self.hear(born=9_000, sequence=1)
         self.assertEqual(len(ended), 1)
 
--- a/tests/packets/test_evidence.py
+++ b/tests/packets/test_evidence.py
@@ -110,11 +110,11 @@
 
     def test_end_that_nobody_planned(self) -> None:
         """An unplanned end of the target counts, a planned one doesn't."""
-        self.holder.ended(now=1.0)
+        self.holder.target_ended(now=1.0)
         self.assertGreater(self.failed(now=1.0), 50)
         leaving = holder()
         leaving.condition = Condition.LEAVING
-        leaving.ended(now=1.0)
+        leaving.target_ended(now=1.0)
         self.assertEqual(leaving.load(now=1.0).failed_percent, 0)
 
 
--- a/tests/packets/test_holder.py
+++ b/tests/packets/test_holder.py
@@ -150,7 +150,7 @@
         """A flow that may have opened at another target is not reset."""
         self.bring(packet(syn=True))
         self.holder.from_target(answer(syn=True), now=1.0)
-        self.assertEqual(self.holder.ended(now=2.0), [])
+        self.assertEqual(self.holder.target_ended(now=2.0), [])
 
     def test_new_run_of_the_target(self) -> None:
         """When a new instance starts, the callers of open flows are reset at once."""
@@ -274,7 +274,7 @@
         self.holder = PacketHolder(
             name="m", service="maps", slots=2, connections=9, log=LOG
         )
-        self.holder.absent(now=1.0)
+        self.holder.note_no_listener(now=1.0)
 
     def answer(self, *, now: float) -> Holds:
         question = Whose(question=1, service="maps", flows=(packet().flow,))
@@ -288,7 +288,7 @@
 
     def test_sure_after_a_while(self) -> None:
         """After `ABSENT_SECONDS` a target that was leaving has certainly ended."""
-        self.holder.absent(now=1.0 + ABSENT_SECONDS)
+        self.holder.note_no_listener(now=1.0 + ABSENT_SECONDS)
         self.assertTrue(self.answer(now=1.0 + ABSENT_SECONDS).is_sure)
         question = Whose(question=1, service="maps", flows=(packet().flow,))
         answered = self.holder.ask(question, sender=BALANCER, now=9.0)
@@ -298,7 +298,7 @@
         """A target that sends a heartbeat after all may be older than its agent."""
         self.holder.started(b"i-1", is_first=False, now=1.5)
         self.holder.condition = Condition.SERVING
-        self.holder.absent(now=9.0)
+        self.holder.note_no_listener(now=9.0)
         answered = self.answer(now=9.0)
         self.assertFalse(answered.is_absent)
         self.assertFalse(answered.is_sure)
--- a/tests/packets/test_slot_use.py
+++ b/tests/packets/test_slot_use.py
@@ -70,7 +70,7 @@
 
     def test_ended_target(self) -> None:
         """The slots of a target that takes no new flows are not idle."""
-        self.holder.ended(now=1.1)
+        self.holder.target_ended(now=1.1)
         self.holder.condition = self.holder.condition.UNRESPONSIVE
         self.holder.tick(now=1.1)
         self.holder.tick(now=9.1)
