--- a/monsoonpier/agent/balancer_link.py
+++ b/monsoonpier/agent/balancer_link.py
@@ -31,7 +31,7 @@
 __all__ = ["BalancerLink", "target_record"]
 
 HEARTBEAT_SECONDS = 1.0
-ANNOUNCE_EVERY = 30  # every so many heartbeats the whole record is sent instead
+ANNOUNCE_EVERY = 30  # heartbeats, after which the whole record is sent again
 MIN_FIND_SECONDS = 1.0  # between reads of the store while no balancer responds
 MAX_FIND_SECONDS = 30.0
 # Between two rounds of announcements while no balancer responds. They are
@@ -94,7 +94,7 @@
         self._on_evacuation = evacuate
         self._draw = draw
         self._codec = FrameCodec(keys=settings.keys)
-        self._witnesses = Witnesses(target=settings.name)
+        self._peers = Witnesses(target=settings.name)
         self._store = store
         self._fetch_task: asyncio.Task | None = None
         self._read_task: asyncio.Task | None = None
@@ -119,8 +119,8 @@
         """Announce the target's condition to the balancers at once."""
         if condition is not self.record.condition:
             self.record = self.record.with_condition(condition)
-        self._witnesses.announce_to_all()
-        for balancer in self._witnesses.select(now=_now()):
+        self._peers.require_announcements()
+        for balancer in self._peers.select(now=_now()):
             self._send(self._announcement(), balancer.endpoint)
 
     def set_instance(self, instance: bytes, *, slots: int) -> None:
@@ -146,29 +146,30 @@
         A response under an older configuration than the agent's does not
         reject the target.
         """
-        self._witnesses.record_ack(ack, now=_now())
+        self._peers.record_ack(ack, now=_now())
         self._apply_evacuation(ack)
-        epoch = self._witnesses.epoch_beyond(ack, epoch=self.record.epoch)
+        epoch = self._peers.epoch_beyond(ack, epoch=self.record.epoch)
         if epoch is not None:
             _log.warning(
                 "wall clock was set back", epoch=self.record.epoch, held=epoch - 1
             )
             self.record = msgspec.structs.replace(self.record, epoch=epoch)
             self.announce(self.record.condition)
-        record = self._witnesses.record(ack.balancer)
+        record = self._peers.record(ack.balancer)
         if ack.version > self.configuration.version and record is not None:
             self._fetch_from(record)
         is_current = ack.version and ack.version >= self.configuration.version
         return ack.allowed or not is_current
 
     def _apply_evacuation(self, ack: HeartbeatAck) -> None:
+        """Apply an evacuation order from a response, if it is new."""
         order = ack.evacuation
         if order is None or order.data_centre != self._settings.data_centre:
             return
-        joined = self.evacuations.joined((order,))
-        if joined == self.evacuations:
+        merged = self.evacuations.joined((order,))
+        if merged == self.evacuations:
             return
-        self.evacuations = joined
+        self.evacuations = merged
         _log.info(
             "evacuation in force" if order.is_active else "evacuation revoked",
             revision=order.revision,
@@ -178,13 +179,13 @@
         self._on_evacuation()
 
     async def _heartbeat_forever(self) -> None:
-        beats = 0
+        heartbeats = 0
         while True:
-            beats += 1
-            if beats % ANNOUNCE_EVERY == 0:
-                self._witnesses.announce_to_all()
-            for balancer in self._witnesses.select(now=_now()):
-                announce = self._witnesses.count_heartbeat(balancer.name, now=_now())
+            heartbeats += 1
+            if heartbeats % ANNOUNCE_EVERY == 0:
+                self._peers.require_announcements()
+            for balancer in self._peers.select(now=_now()):
+                announce = self._peers.count_heartbeat(balancer.name, now=_now())
                 frame = self._announcement() if announce else self._heartbeat()
                 self._send(frame, balancer.endpoint)
             # Spreads the heartbeats of agents that started together.
@@ -218,7 +219,7 @@
         # soon.
         next_read_at = _now()
         while True:
-            if not self._witnesses.is_cut_off:
+            if not self._peers.is_cut_off:
                 read_backoff = read_backoff.after_success()
                 announce_backoff = announce_backoff.after_success()
                 await asyncio.sleep(MIN_FIND_SECONDS * self._draw.uniform(0.5, 1.0))
@@ -233,7 +234,7 @@
 
     def _announce_to_candidates(self) -> None:
         """Announce the target to the seeds and some known balancers."""
-        known = self._witnesses.sample(ANNOUNCE_SAMPLE, draw=self._draw)
+        known = self._peers.sample(ANNOUNCE_SAMPLE, draw=self._draw)
         endpoints = {seed.endpoint for seed in self._settings.seeds}
         endpoints |= {record.endpoint for record in known}
         for endpoint in sorted(endpoints):
@@ -251,20 +252,21 @@
             _log.info("reading balancers from the store failed", reason=str(error))
             return
         for record in registered_balancers(found, codec=self._codec):
-            self._witnesses.learn(record)
+            self._peers.learn(record)
 
     def _fetch_from(self, balancer: BalancerRecord) -> None:
+        """Start to fetch the configuration, unless a fetch is running."""
         if self._on_configuration is None:
             return
         if self._fetch_task is None or self._fetch_task.done():
             self._fetch_task = asyncio.create_task(self._fetch(balancer))
 
     async def _fetch(self, balancer: BalancerRecord) -> None:
-        question = AskConfiguration(
+        request = AskConfiguration(
             newer_than=self.configuration.version, service=self.record.service
         )
         try:
-            reply = await ask(balancer.control, question, keys=self._settings.keys)
+            reply = await ask(balancer.control, request, keys=self._settings.keys)
         except NoAnswer as error:
             _log.info("fetching the configuration failed", reason=str(error))
             return
--- a/monsoonpier/agent/packets/admission.py
+++ b/monsoonpier/agent/packets/admission.py
@@ -136,6 +136,7 @@
         return actions + self._offer_slots(now=now)
 
     def _can_deliver(self, *, now: float) -> bool:
+        """Return whether the target can take a queued SYN now."""
         is_free = self._load.busy < self._load.slots + self._syns_ahead
         return is_free and self._load.cold.allows(now=now)
 
@@ -182,6 +183,7 @@
         return actions
 
     def _has_slot_to_offer(self, *, now: float) -> bool:
+        """Return whether a slot is free, or about to be, beyond open offers."""
         offered = self._reservations.offered
         taken = self._load.busy + len(self._queue) + offered
         if taken >= self._load.slots + QUEUE_AHEAD:
@@ -242,6 +244,7 @@
         return ToProcess(endpoint=syn.balancer, frame=frame)
 
     def _rejection_reason(self, frame: Carry, *, now: float) -> str | None:
+        """Return why a SYN can't be delivered now; ``None`` if it can."""
         if frame.service != self._service:
             return "another service's"
         if self._closed_reason is not None:
@@ -266,6 +269,7 @@
         return EVACUATED if self.is_evacuated else None
 
     def _deliver(self, syn: QueuedSyn, *, now: float) -> ToTarget:
+        """Record the flow of a SYN, keep a slot for it and deliver the SYN."""
         packet = syn.packet
         ended = self._flows_by_address.pop(packet.flow, None)
         if ended is not None:
@@ -285,7 +289,7 @@
     def _enqueue(
         self, frame: Carry, packet: Packet, *, sender: tuple[str, int], now: float
     ) -> list:
-        """Queue a SYN, and reject the one that the queue then has no room for."""
+        """Queue a SYN and reject the one that there is no room left for."""
         displaced = self._queue.add(
             frame,
             packet,
@@ -304,6 +308,7 @@
     def _queued_reply(
         self, packet: Packet, *, sender: tuple[str, int], now: float
     ) -> ToProcess:
+        """Return the frame that tells a balancer that its SYN is queued."""
         self._counts_by_result["queued"] += 1
         self._log.note(
             "flow queued",
--- a/monsoonpier/agent/packets/holder.py
+++ b/monsoonpier/agent/packets/holder.py
@@ -256,6 +256,7 @@
         return not self.has_seen_target and self._target_state.is_absent
 
     def _owns(self, address: bytes) -> bool:
+        """Return whether the target owns a flow, or will if it opens here."""
         flow = self._flows_by_address.get(address)
         if flow is None:
             return False
@@ -299,6 +300,7 @@
     def _handle_from_balancer(
         self, frame: Carry, packet: Packet, *, sender: tuple[str, int], now: float
     ) -> list:
+        """Return the actions for a caller's packet."""
         flow = self._flows_by_address.get(packet.flow)
         if packet.is_syn:
             self._admission.offer_answered(frame, sender=sender)
@@ -339,6 +341,7 @@
         sender: tuple[str, int],
         now: float,
     ) -> list:
+        """Deliver a retransmitted SYN; leave the decision on others to admission."""
         if flow is not None and not flow.is_ended:
             flow.balancer = sender
             return [ToTarget(raw=packet.raw)]
@@ -372,12 +375,14 @@
         return [held, *self._deliver(packet, flow, now=now)]
 
     def _mark_open(self, address: bytes, flow: PacketFlow, *, now: float) -> None:
+        """Record that the caller has completed the handshake."""
         self._log.note("flow opened", now=now, flow=address, busy=self.busy)
         flow.probe_packet = None
         self.target_load.count_open(flow)
         self._admission.expect(address, flow, now=now)
 
     def _deliver(self, packet: Packet, flow: PacketFlow, *, now: float) -> list:
+        """Deliver a packet of an open flow and track its request."""
         flow.acknowledged = packet.acknowledged
         if packet.size and _is_new_data(packet, flow):
             flow.caller_end = packet.sequence + packet.size
@@ -396,6 +401,7 @@
     def _handle_unknown_flow(
         self, frame: Carry, packet: Packet, *, sender: tuple[str, int], now: float
     ) -> list:
+        """Probe an unknown flow at the target, if it may own the flow."""
         may_be_owned = frame.service == self._service or (
             packet.service_address in self._served_addresses
         )
@@ -427,6 +433,7 @@
         return self._update_accounting(actions, now=now)
 
     def _handle_from_target(self, packet: Packet, *, now: float) -> list:
+        """Return the actions for a packet of the target."""
         flow = self._flows_by_address.get(packet.flow)
         if packet.is_returned:
             return self._handle_returned(packet, flow, now=now)
@@ -506,6 +513,7 @@
     def _handle_returned(
         self, packet: Packet, flow: PacketFlow | None, *, now: float
     ) -> list:
+        """Handle a packet that the target returned without processing it."""
         if flow is None:
             self.counts_by_result["returned_unknown"] += 1
             return []
@@ -537,6 +545,7 @@
         return self.expire(now=now)
 
     def _log_slot_use(self, *, now: float) -> None:
+        """Log the use of slots if a summary is due."""
         self.target_load.use.advance(now=now)
         used = self.target_load.use.summary_if_due(now=now)
         if used is not None:
@@ -553,6 +562,7 @@
         return self._update_accounting(self._admission.expire(now=now), now=now)
 
     def _check_run_timeout(self, flow: PacketFlow, *, now: float) -> None:
+        """Count a run without an answer as failed, and free its slot later."""
         if now - flow.seen_at > MAX_SILENT_SECONDS:
             self.target_load.mark_overdue(flow, now=now)
         if now - flow.phase_began_at > MAX_RUN_SECONDS:
@@ -561,6 +571,7 @@
     # Helpers
 
     def _remove(self, address: bytes, *, now: float) -> None:
+        """Remove a flow, if it is known."""
         flow = self._flows_by_address.pop(address, None)
         if flow is None:
             return
@@ -569,6 +580,7 @@
     def _owned_reply(
         self, flow: bytes, *, sender: tuple[str, int], is_open: bool, now: float
     ) -> ToProcess:
+        """Return the frame that tells a balancer that the target owns a flow."""
         load = self.load(now=now)
         frame = Held(flow=flow, agent=self._name, load=load, is_open=is_open)
         return ToProcess(endpoint=sender, frame=frame)
@@ -581,6 +593,7 @@
         now: float,
         omit_payload: bool = False,
     ) -> list:
+        """Return the frame that tells a balancer that a flow is not owned here."""
         self.counts_by_result["denied"] += 1
         self._log.note(
             "flow not owned by the target",
@@ -621,6 +634,7 @@
 
 
 def _timeout_seconds(flow: PacketFlow) -> float:
+    """Return how long a flow is kept without packets."""
     if flow.is_ended:
         return ENDED_FLOW_SECONDS
     if not flow.is_open:
--- a/monsoonpier/agent/packets/load.py
+++ b/monsoonpier/agent/packets/load.py
@@ -98,16 +98,16 @@
     def busy_share(self, *, now: float) -> float:
         """Return the smoothed share of slots in use, 1.0 at most."""
         passed = max(0.0, now - self._share_at)
-        fades = math.exp(-passed / BUSY_SHARE_SECONDS)
+        decay = math.exp(-passed / BUSY_SHARE_SECONDS)
         taken = min(1.0, self.busy / self.slots)
-        return taken + (self._busy_share - taken) * fades
+        return taken + (self._busy_share - taken) * decay
 
     def failure_level(self, *, now: float) -> int:
         """Return the percentage of failed requests in steps of `FAILED_STEP`."""
         return self.failed_percent(now=now) // FAILED_STEP
 
     def change_phase(self, flow: PacketFlow, phase: Phase, *, now: float) -> None:
-        """Move a flow to a phase, and count it if its caller was silent."""
+        """Move a flow to a phase; count its caller as silent if it was expected."""
         # A flow that was expected for no time has kept no slot.
         is_abandoned = flow.phase is Phase.EXPECTED and phase is Phase.IDLE
         if is_abandoned and now > flow.phase_began_at:
@@ -116,6 +116,7 @@
         self._set_phase(flow, phase, now=now)
 
     def _set_phase(self, flow: PacketFlow, phase: Phase, *, now: float) -> None:
+        """Move a flow to a phase and update the counts."""
         if phase is Phase.EXPECTED and flow.phase is not Phase.EXPECTED:
             flow.kept_seconds_at_start = self.use.kept_seconds_per_flow(now=now)
         if flow.phase is Phase.RUNNING:
@@ -151,6 +152,7 @@
         self._set_phase(flow, Phase.IDLE, now=now)
 
     def _note_run_ended(self, *, now: float) -> None:
+        """Record a run's end in the use of slots."""
         is_expecting = self.busy > self._running
         self.use.run_ended(
             is_slot_free=self._running <= self.slots,
@@ -176,7 +178,7 @@
         self.open += 1
 
     def flow_removed(self, flow: PacketFlow, *, now: float) -> None:
-        """Stop counting a flow."""
+        """Stop counting a flow that was removed."""
         if flow.phase is Phase.EXPECTED:
             self.use.count_dropped()
         self._set_phase(flow, Phase.IDLE, now=now)
--- a/monsoonpier/agent/packets/load_reports.py
+++ b/monsoonpier/agent/packets/load_reports.py
@@ -44,6 +44,8 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Receiver:
+    """A balancer that gets reports."""
+
     last_placed_at: float
     known: _Reported | None = None
 
@@ -102,6 +104,7 @@
         }
 
     def _present(self, condition: Condition, *, now: float) -> _Reported:
+        """Return the present state, as balancers are told it."""
         present = _Reported(
             level=self._load.level,
             failure_level=self._load.failure_level(now=now),
@@ -141,6 +144,7 @@
         return told
 
     def _log_failure_change(self, level: int, *, now: float) -> None:
+        """Log that the failure rate has risen or fallen."""
         is_worse = level > self._failure_level
         self._failure_level = level
         self._log.note(
--- a/monsoonpier/agent/packets/process.py
+++ b/monsoonpier/agent/packets/process.py
@@ -56,8 +56,8 @@
 GONE_REPEAT_SECONDS = 0.05
 MAX_HEARTBEAT_DELAY_SECONDS = 1.0  # from the target, on the same machine
 MAX_SHUTDOWN_SECONDS = 2.5  # for requests in flight; long flows don't end by themselves
-# A margin above the time after which a target counts as absent. It must stay
-# within the six seconds that a process has to stop.
+# How long a stopping agent waits until a target is found or counts as absent.
+# It must be less than the six seconds that a process has to stop.
 MAX_ABSENT_SECONDS = ABSENT_SECONDS + 0.5
 ABSENT_CHECK_SECONDS = 0.02
 _log = structlog.get_logger("monsoonpier.agent.packets.process")
@@ -176,6 +176,7 @@
         _log.info("stopped", **self._holder.target_load.use.total.fields)
 
     async def _shut_down(self) -> None:
+        """Announce the target's condition, then wait for requests in flight."""
         await self._life.wait_for_leaving()
         began = _now()
         if self._has_target_left:
@@ -194,18 +195,19 @@
         self._life.step("finished")
 
     async def _announce_gone(self) -> None:
+        """Announce, several times, that the target is gone."""
         self._set_condition(Condition.GONE)
         for _ in range(GONE_REPEATS):
             await asyncio.sleep(GONE_REPEAT_SECONDS)
             self._link.announce(Condition.GONE)
 
     async def _wait_until_absent(self) -> bool:
-        """Wait until a target is found or certainly absent; return whether absent.
+        """Wait until a target is found or counts as absent; return the latter.
 
         A VM whose target has left starts again like others after a loss of
         power, and is stopped soon after. Balancers that still have a record of
-        its agent wait for its reply on each flow it may own, so it waits for
-        certainty and then announces the target as gone.
+        its agent wait for its reply about each flow that it may own, until the
+        agent announces its target as gone.
         """
         until = _now() + MAX_ABSENT_SECONDS
         while not (self._holder.has_seen_target or self._holder.has_no_target):
@@ -226,6 +228,7 @@
         return False
 
     def _handle_heartbeat(self, heartbeat: TargetAnnouncement) -> bool:
+        """Apply a heartbeat unless it is stale; return that it is acknowledged."""
         holder = self._holder
         match self._instances.classify(heartbeat, has_ended=self._has_target_ended):
             case StaleHeartbeat():
@@ -246,7 +249,7 @@
         self._life.step("configured")
         may_be_delayed = _now() - self._gone_at < MAX_HEARTBEAT_DELAY_SECONDS
         if not is_new and may_be_delayed and holder.condition is Condition.UNRESPONSIVE:
-            return True  # Sent before the target ended.
+            return True  # Probably sent before the target ended.
         condition = Condition.LEAVING if heartbeat.is_draining else Condition.SERVING
         if self._life.state == "leaving" and not heartbeat.is_draining:
             condition = Condition.SHEDDING
@@ -258,7 +261,7 @@
         return self._has_target_left or self._holder.condition is Condition.UNRESPONSIVE
 
     def _begin_instance(self, heartbeat: TargetAnnouncement) -> None:
-        """Serve a new instance of the target, and discard the state of the last."""
+        """Serve a new instance of the target and reset flows of the last one."""
         instance = heartbeat.run.instance
         _log.info(
             "target started",
@@ -279,6 +282,7 @@
         self._perform(self._holder.answer_pending(now=_now()))
 
     def _handle_leave(self, notice: TargetLeft) -> bool:
+        """Stop taking new flows if the current instance of the target leaves."""
         instance = notice.run.instance.decode()
         if self._instances.is_current(notice.run):
             _log.info("target left", instance=instance)
@@ -303,8 +307,8 @@
     def _target_gone(self) -> None:
         """Handle refused connections: the target and its flows have ended.
 
-        A target that is leaving is an exception: it may have stopped listening
-        only.
+        A leaving target is an exception, since it may only have stopped
+        listening.
         """
         if self._has_target_left or self._holder.condition is Condition.UNRESPONSIVE:
             return
@@ -331,6 +335,7 @@
             self._link.announce_no_target()
 
     def _set_condition(self, condition: Condition, *, announce: bool = False) -> None:
+        """Set the target's condition and announce it if it has changed."""
         if condition is self._holder.condition and not announce:
             return
         before = self._holder.condition
--- a/monsoonpier/agent/packets/queue.py
+++ b/monsoonpier/agent/packets/queue.py
@@ -69,7 +69,7 @@
             packet: The SYN.
             balancer: The balancer that sent it.
             slots: How many requests the target works on at once.
-            run_seconds: How long the target takes for a request.
+            run_seconds: The service time of a run.
             now: The present time.
         """
         self._syns_by_flow[packet.flow] = QueuedSyn(
--- a/monsoonpier/agent/packets/reservations.py
+++ b/monsoonpier/agent/packets/reservations.py
@@ -30,9 +30,7 @@
 
 MAX_RESERVATIONS = 512  # of one agent
 OFFER_SECONDS = 0.02  # several round trips to a balancer in the same region
-MAX_UNANSWERED_OFFERS = (
-    2  # unanswered offers in a row after which reservations are removed
-)
+MAX_UNANSWERED_OFFERS = 2  # in a row, then a balancer's reservations are removed
 # Late flows get the share of slots that serves all of them, up to this share.
 # If they need more, not all can be served, and their slots make others late
 # too.
@@ -40,10 +38,10 @@
 
 
 class SlotOffer(NamedTuple):
-    """The balancer that a slot is offered to.
+    """An offer of a slot.
 
     Attributes:
-        balancer: The balancer's internal address.
+        balancer: The internal address of the balancer that gets the offer.
         is_late_turn: Whether the slot is for a flow that can't be answered in
             time.
     """
@@ -106,7 +104,7 @@
         """Offer a slot to the balancer whose flow comes first, if any waits.
 
         Args:
-            run_seconds: How long the target takes for a request.
+            run_seconds: The service time of a run.
             slots: How many requests the target works on at once.
             now: The present time.
         """
@@ -114,7 +112,7 @@
             self._balancers_by_flow.pop(waiting.flow, None)
         if not self._balancers_by_flow:
             return None
-        # It starts after the request that now uses the slot.
+        # The flow's first run starts after the one that now uses the slot.
         behind = QUEUE_AHEAD / slots / MARGIN_RUNS
         self._queue.sort_out(now=now, run_seconds=run_seconds * (1 + behind))
         seconds_each = run_seconds / slots / RESERVED_AT
@@ -155,19 +153,19 @@
         be reached. Its reservations are removed, since each would keep a slot
         empty; a live balancer reserves again.
         """
-        passed: Counter[Endpoint] = Counter()
+        expired: Counter[Endpoint] = Counter()
         while self._offers and now - self._offers[0][0] >= OFFER_SECONDS:
-            passed[self._offers.popleft()[1]] += 1
+            expired[self._offers.popleft()[1]] += 1
         # Several offers that expire together count once.
-        self._unanswered_by_balancer.update(set(passed))
+        self._unanswered_by_balancer.update(set(expired))
         self._remove_balancers(
             {
                 b
-                for b in passed
+                for b in expired
                 if self._unanswered_by_balancer[b] >= MAX_UNANSWERED_OFFERS
             }
         )
-        return passed
+        return expired
 
     def clear(self) -> None:
         """Remove everything, since the target takes no new flows."""
--- a/monsoonpier/agent/packets/run_times.py
+++ b/monsoonpier/agent/packets/run_times.py
@@ -51,6 +51,7 @@
             self._start_next(except_flow=flow, now=now)
 
     def _start_next(self, *, except_flow: PacketFlow, now: float) -> None:
+        """Take the request that has waited longest as started."""
         while self._waiting:
             next_flow = self._waiting.popleft()
             if next_flow is except_flow or next_flow.phase is not Phase.RUNNING:
@@ -65,6 +66,7 @@
         self._waiting.clear()
 
     def _learn(self, run_ms: float) -> None:
+        """Update the smoothed service time."""
         if self.run_ms:
             self.run_ms += SMOOTHING * (run_ms - self.run_ms)
         else:
--- a/monsoonpier/agent/packets/slot_use.py
+++ b/monsoonpier/agent/packets/slot_use.py
@@ -189,9 +189,11 @@
 
     @property
     def _kept_slots_per_flow(self) -> float:
+        """How many slots each expected flow keeps, 1 at most."""
         return self._kept_slots / self._expected if self._expected else 0.0
 
     def _count(self, seconds: float) -> None:
+        """Add a span of time in the current state to the sums."""
         empty = (self._slots - self._running) * seconds
         self._busy += self._running * seconds
         self._kept += self._kept_slots * seconds
--- a/monsoonpier/agent/witnesses.py
+++ b/monsoonpier/agent/witnesses.py
@@ -97,7 +97,7 @@
         """Return the epoch to use if a balancer has a later one of this agent."""
         return ack.held_epoch + 1 if ack.held_epoch > epoch else None
 
-    def announce_to_all(self) -> None:
+    def require_announcements(self) -> None:
         """Make the next message to each balancer an announcement."""
         for peer in self._peers_by_name.values():
             peer.has_record = False
