--- a/tests/agent/test_balancer_link.py
+++ b/tests/agent/test_balancer_link.py
@@ -61,7 +61,7 @@
                 others += 1
         return others
 
-    async def test_balancers_of_the_store(self) -> None:
+    async def test_balancers_in_the_store(self) -> None:
         """Registered balancers get announcements as soon as the store is read."""
         other = balancer("b2", host=2).peers.own
         value = FrameCodec(keys=KEYS).encode(other)
@@ -70,7 +70,7 @@
         others = await self.until_sent_to(other.endpoint)
         self.assertLessEqual(others, 2)
 
-    async def test_store_away(self) -> None:
+    async def test_store_unreachable(self) -> None:
         """While the store doesn't respond, the seeds still get announcements."""
         gone = asyncio.Event()
 
--- a/tests/agent/test_witnesses.py
+++ b/tests/agent/test_witnesses.py
@@ -11,7 +11,7 @@
 from tests.rig import balancer
 
 
-class WitnessTests(unittest.TestCase):
+class HeartbeatPeersTests(unittest.TestCase):
     """A few balancers are selected, and dead ones replaced."""
 
     def _known(self, count: int, target: str = "maps-1") -> Witnesses:
@@ -38,7 +38,7 @@
         }
         self.assertGreater(len(chosen), 15)
 
-    def test_silent_witness_is_replaced(self):
+    def test_unresponsive_balancer_is_replaced(self):
         """A balancer that misses several heartbeats is replaced by another."""
         witnesses = self._known(5)
         first = witnesses.select(now=1.0)[0].name
--- a/tests/model/test_waiting.py
+++ b/tests/model/test_waiting.py
@@ -52,7 +52,7 @@
         )
         self.assertEqual(self.order(), ["urgent", "usual", "late"])
 
-    def test_late_by_their_end(self) -> None:
+    def test_late_by_expiry(self) -> None:
         """Late flows go by the time at which their callers give up."""
         self.add(
             waiting("a", aim=0.0, end=3.0),
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -106,7 +106,7 @@
         self.bring(4, now=1.02, sender=OTHER_BALANCER)
         self.assertEqual(self.delivered(self.finish(1, now=1.05)), [packet(4).flow])
 
-    def test_late_one_makes_room(self) -> None:
+    def test_late_flow_makes_room(self) -> None:
         """A full queue rejects a late flow to make room for one in time."""
         self.bring(3, now=1.01, in_time_ms=0)
         self.bring(4, now=1.01)
@@ -124,7 +124,7 @@
         self.assertEqual(turned.payload, packet(5, syn=True).raw)
         self.assertEqual(turned.load.queued, 2)
 
-    def test_copy_of_a_queued_syn(self) -> None:
+    def test_retransmission_of_queued_syn(self) -> None:
         """A retransmission takes no second place; its balancer is told it is queued."""
         self.bring(3, now=1.01)
         actions = self.bring(3, now=1.21)
@@ -135,7 +135,7 @@
         self.finish(1, now=1.3)
         self.assertEqual(self.delivered(self.finish(2, now=1.31)), [])
 
-    def test_sent_back_before_the_caller_gives_up(self) -> None:
+    def test_rejected_before_the_caller_gives_up(self) -> None:
         """A SYN for which no slot came free is rejected when its wait is over."""
         self.bring(3, now=1.01, wait_ms=300)
         self.assertEqual(self.holder.tick(now=1.2), [])
@@ -150,7 +150,7 @@
         self.assertEqual(self.delivered(actions), [])
         self.assertEqual([t.reason for t in frames(actions, Turned)], ["leaving"])
 
-    def test_balancer_that_names_no_wait(self) -> None:
+    def test_syn_without_wait(self) -> None:
         """A SYN without a time to wait is not queued."""
         self.assertEqual(len(frames(self.bring(3, now=1.0, wait_ms=0), Turned)), 1)
 
@@ -175,12 +175,12 @@
         actions = self.rig.caller(copy, now=SETTLED + 0.2)
         self.assertEqual(self.rig.names(actions), [self.first])
 
-    def test_agent_that_says_nothing_more(self) -> None:
+    def test_unresponsive_agent(self) -> None:
         """After a timeout, its agent may have ended, so it goes to another target."""
         self.assertEqual(self.retry(now=SETTLED + 0.1), [])
         self.assertEqual(self.retry(now=SETTLED + 0.75), [self.other])
 
-    def test_sent_back(self) -> None:
+    def test_rejected(self) -> None:
         """A SYN that the agent rejects goes to another target at once."""
         sent = packet(syn=True)
         frame = Turned(
@@ -196,7 +196,7 @@
 class ReturningCallerTests(unittest.TestCase):
     """A rejected caller's next attempt keeps the time of its first one."""
 
-    def test_since_it_asked_first(self) -> None:
+    def test_first_attempt_counts(self) -> None:
         """A rejected caller's next flow counts from its first attempt, once."""
         callers = ReturningCallers()
         callers.refused(packet(1), asked_at=1.0, now=2.0)
@@ -237,10 +237,10 @@
         self.assertEqual([a.frame.payload for a in actions], [other.raw])
 
 
-class ExpectationTests(unittest.TestCase):
+class ResponseTimeoutTests(unittest.TestCase):
     """How long a slot is kept for a caller that may have given up."""
 
-    def test_learnt_from_callers(self) -> None:
+    def test_timeout_follows_callers(self) -> None:
         """The timeout follows the response times of callers, within bounds."""
         expected = ExpectedPackets()
         self.assertEqual(expected.timeout_seconds, MAX_TIMEOUT_SECONDS)
--- a/tests/packets/test_agent_process.py
+++ b/tests/packets/test_agent_process.py
@@ -64,7 +64,7 @@
     return TargetLeft(run=TargetRun(identity=instance, born_ms=born))
 
 
-class TargetsWordTests(unittest.IsolatedAsyncioTestCase):
+class TargetMessageTests(unittest.IsolatedAsyncioTestCase):
     """Heartbeats, the leave notice, and targets that are absent."""
 
     def setUp(self) -> None:
@@ -72,7 +72,7 @@
         self.process = process()
         self.holder = self.process._holder
 
-    async def test_farewell_is_not_yet_the_end(self) -> None:
+    async def test_flows_after_leave_notice(self) -> None:
         """Flows stay open after the leave notice until the VM is stopped.
 
         The target may have stopped listening and still own them.
@@ -85,7 +85,7 @@
         await asyncio.wait_for(self.process._shut_down(), 5)
         self.assertIs(self.holder.condition, Condition.GONE)
 
-    async def test_given_up_without_a_target(self) -> None:
+    async def test_stopped_without_a_target(self) -> None:
         """An agent that never found a target announces that, once certain.
 
         Otherwise balancers get no reply on flows that its target may have
@@ -102,7 +102,7 @@
         await asyncio.wait_for(leaving, 5)
         self.assertIs(self.holder.condition, Condition.GONE)
 
-    async def test_given_up_before_it_looked(self) -> None:
+    async def test_stopped_before_first_check(self) -> None:
         """An agent that is stopped before its first check waits for certainty."""
         self.process._life.step("terminate")
         leaving = asyncio.create_task(self.process._shut_down())
@@ -123,7 +123,7 @@
         self.process.take(heartbeat())
         self.assertFalse(self.process._link.record.is_absent)
 
-    async def test_given_up_while_the_target_is_not_reached(self) -> None:
+    async def test_stopped_while_target_unreachable(self) -> None:
         """An agent stops in time although the target's address doesn't answer."""
         self.holder.note_no_listener(now=time.monotonic())
         self.process._life.step("terminate")
@@ -131,7 +131,7 @@
             await asyncio.wait_for(self.process._shut_down(), 2)
         self.assertIs(self.holder.condition, Condition.SHEDDING)
 
-    async def test_given_up_while_a_target_comes(self) -> None:
+    async def test_stopped_while_target_appears(self) -> None:
         """A target that appears in the meantime may keep running."""
         self.holder.note_no_listener(now=time.monotonic())
         self.process._life.step("terminate")
@@ -141,7 +141,7 @@
         await asyncio.wait_for(leaving, 5)
         self.assertIs(self.holder.condition, Condition.SHEDDING)
 
-    async def test_lost_farewell(self) -> None:
+    async def test_lost_leave_notice(self) -> None:
         """A draining target that no longer listens may still own its flows.
 
         Its leave notice may be lost, so its flows must not be reset.
@@ -162,27 +162,27 @@
         self.process.take(heartbeat(is_draining=True, sequence=2))
         self.assertIs(self.holder.condition, Condition.LEAVING)
 
-    async def test_late_heartbeat(self) -> None:
+    async def test_stale_heartbeat(self) -> None:
         """An older heartbeat of the same instance changes nothing."""
         self.process.take(heartbeat(is_draining=True, sequence=5))
         self.assertTrue(self.process.take(heartbeat(sequence=4)))
         self.assertIs(self.holder.condition, Condition.LEAVING)
 
-    async def test_late_heartbeat_of_an_earlier_run(self) -> None:
+    async def test_heartbeat_of_earlier_instance(self) -> None:
         """A delayed heartbeat doesn't bring back an instance that was replaced."""
         self.process.take(heartbeat())
         self.process.take(heartbeat(instance="i-2"))
         self.assertTrue(self.process.take(heartbeat(sequence=9)))
         self.assertEqual(self.holder.instance, b"i-2")
 
-    async def test_farewell_of_an_earlier_run(self) -> None:
+    async def test_leave_notice_of_earlier_instance(self) -> None:
         """A delayed leave notice doesn't end the instance that followed."""
         self.process.take(heartbeat())
         self.process.take(heartbeat(instance="i-2"))
         self.process.take(farewell("i-1"))
         self.assertIs(self.holder.condition, Condition.SERVING)
 
-    async def test_crash_and_new_run(self) -> None:
+    async def test_crash_and_new_instance(self) -> None:
         """A crashed target serves again with the heartbeat of its next instance."""
         self.process.take(heartbeat())
         self.process._target_gone()
@@ -193,7 +193,7 @@
         self.assertIs(self.holder.condition, Condition.SERVING)
 
 
-class RebornTargetTests(unittest.IsolatedAsyncioTestCase):
+class RestartedTargetTests(unittest.IsolatedAsyncioTestCase):
     """A target that restarts under the same identity."""
 
     def setUp(self) -> None:
@@ -203,14 +203,14 @@
     def hear(self, **fields) -> None:
         self.assertTrue(self.process.take(heartbeat(**fields)))
 
-    async def test_counts_start_anew(self) -> None:
+    async def test_sequence_starts_again(self) -> None:
         """A new instance's first heartbeat is accepted despite its low sequence."""
         self.hear(born=1_000, sequence=70, is_draining=True)
         self.hear(born=9_000, sequence=1)
         self.assertIs(self.holder.condition, Condition.SERVING)
         self.assertEqual(self.holder.instance, b"i-1@9000")
 
-    async def test_late_heartbeat_of_the_run_before(self) -> None:
+    async def test_stale_heartbeat_of_previous_instance(self) -> None:
         """A higher sequence doesn't bring the earlier instance back."""
         self.hear(born=9_000, sequence=1)
         self.hear(born=1_000, sequence=70, is_draining=True)
@@ -219,7 +219,7 @@
         self.hear(born=1_000, sequence=71, is_draining=True)
         self.assertIs(self.holder.condition, Condition.SERVING)
 
-    async def test_flows_of_the_run_before_are_dead(self) -> None:
+    async def test_flows_of_previous_instance(self) -> None:
         """The callers of the earlier instance's flows are reset at once."""
         self.hear(born=1_000, sequence=70)
         ended: list = []
@@ -227,7 +227,7 @@
         self.hear(born=9_000, sequence=1)
         self.assertEqual(len(ended), 1)
 
-    async def test_clock_set_back_between_two_runs(self) -> None:
+    async def test_clock_set_back_between_instances(self) -> None:
         """An instance that looks older is served after a second heartbeat."""
         self.hear(born=9_000, sequence=70)
         self.hear(born=1_000, sequence=1)
@@ -237,14 +237,14 @@
         self.hear(born=9_000, sequence=71)
         self.assertEqual(self.holder.instance, b"i-1@1000")
 
-    async def test_clock_set_back_after_an_end_that_was_seen(self) -> None:
+    async def test_clock_set_back_after_known_end(self) -> None:
         """One heartbeat is enough if the earlier instance is known to have ended."""
         self.hear(born=9_000, sequence=70)
         self.process._target_gone()
         self.hear(born=1_000, sequence=1)
         self.assertIs(self.holder.condition, Condition.SERVING)
 
-    async def test_farewell_of_the_run_before(self) -> None:
+    async def test_leave_notice_of_previous_instance(self) -> None:
         """A delayed leave notice doesn't affect the new instance."""
         self.hear(born=1_000, sequence=70)
         self.hear(born=9_000, sequence=1)
@@ -254,7 +254,7 @@
         self.process.take(farewell("i-1", born=9_000))
         self.assertIs(self.holder.condition, Condition.LEAVING)
 
-    async def test_failures_of_the_run_before(self) -> None:
+    async def test_failures_of_previous_instance(self) -> None:
         """Failures of the earlier instance don't count against the new one.
 
         Only an unplanned end does.
@@ -266,7 +266,7 @@
         self.hear(born=9_000, sequence=1)
         self.assertEqual(load.failed_percent(now=0.1), 0)
 
-    async def test_without_birth(self) -> None:
+    async def test_without_start_time(self) -> None:
         """Without a start time, instances differ by identity alone."""
         self.hear(sequence=5)
         self.hear(instance="i-2", sequence=1)
--- a/tests/packets/test_cold.py
+++ b/tests/packets/test_cold.py
@@ -24,7 +24,7 @@
 COLD_SECONDS = 5.0
 
 
-class ColdLimitTests(unittest.TestCase):
+class ColdStartLimitTests(unittest.TestCase):
     """A cold target of 100 slots that may get ten new flows a second."""
 
     def setUp(self) -> None:
@@ -64,7 +64,7 @@
         # The limit is also used up.
         self.assertGreaterEqual(len(self.taken), 0.8 * PER_SECOND * 4)
 
-    def test_waits_beside_the_target(self) -> None:
+    def test_waits_at_the_agent(self) -> None:
         """A flow that can wait is delivered as soon as the limit allows it."""
         for _ in range(10):
             self.bring(now=1.0)
@@ -73,7 +73,7 @@
         self.note(self.holder.expire(now=2.01), now=2.01)
         self.assertEqual(len(self.taken), 11)
 
-    def test_balancers_know(self) -> None:
+    def test_balancers_are_told(self) -> None:
         """A rejected SYN's load report keeps the balancer from sending more."""
         for _ in range(10):
             self.bring(now=1.0)
@@ -105,7 +105,7 @@
         self.assertIn(sent.raw, [getattr(action, "raw", b"") for action in actions])
 
 
-class LimitsWayTests(unittest.TestCase):
+class LimitConfigurationTests(unittest.TestCase):
     """How the configured limit reaches an agent."""
 
     def _configuration(self, cold_per_s: float) -> Configuration:
@@ -116,7 +116,7 @@
         }
         return PLATFORM_FORMAT.decode(msgspec.json.encode(body))
 
-    def test_from_the_operator(self) -> None:
+    def test_from_the_configuration(self) -> None:
         """A service's limit is read; 0 means none, and negative values are invalid."""
         limits = self._configuration(7.5).cold_per_second_by_service
         self.assertEqual(limits, {"maps": 7.5})
--- a/tests/packets/test_evidence.py
+++ b/tests/packets/test_evidence.py
@@ -23,16 +23,16 @@
 SEEDS = (1, 2)
 
 
-class FailureShareTests(unittest.TestCase):
+class FailureRateTests(unittest.TestCase):
     """What an agent concludes from answers."""
 
-    def test_one_failure_is_little_evidence(self) -> None:
+    def test_single_failure(self) -> None:
         """A single failed request gives a low rate."""
         share = FailureRate()
         share.count(is_failure=True, now=1.0)
         self.assertLess(share.value(now=1.0), 0.5)
 
-    def test_fades(self) -> None:
+    def test_decays(self) -> None:
         """The rate decays without new results."""
         share = FailureRate()
         for number in range(20):
@@ -48,7 +48,7 @@
         self.assertAlmostEqual(share.value(now=5.0), 0.4, delta=0.03)
 
 
-class HolderEvidenceTests(unittest.TestCase):
+class CountedFailureTests(unittest.TestCase):
     """Which events count as failures."""
 
     def setUp(self) -> None:
@@ -66,7 +66,7 @@
     def failed(self, *, now: float) -> int:
         return self.holder.load(now=now).failed_percent
 
-    def test_answers_that_say_so(self) -> None:
+    def test_failed_answer(self) -> None:
         """An answer that reports a failure counts, a good one doesn't."""
         self.ask(1, now=1.0)
         self.holder.from_target(answer(1, size=50), now=1.05)
@@ -75,7 +75,7 @@
         self.holder.from_target(answer(2, size=50, failure=True), now=1.1)
         self.assertGreater(self.failed(now=1.1), 20)
 
-    def test_change_is_logged_and_told(self) -> None:
+    def test_change_is_logged_and_reported(self) -> None:
         """A rising rate is logged and reported to balancers."""
         self.ask(1, now=1.0)
         self.holder.load_reports(now=1.0)
@@ -85,7 +85,7 @@
         self.assertEqual(note.call_args.args, ("target's failure rate rose",))
         self.assertGreater(news[0].frame.load.failed_percent, 20)
 
-    def test_failure_says_nothing_of_a_run(self) -> None:
+    def test_failure_is_no_service_time(self) -> None:
         """A target that fails at once doesn't count as a fast one."""
         self.ask(1, now=1.0)
         self.holder.from_target(answer(1, size=50, failure=True), now=1.002)
@@ -102,13 +102,13 @@
         self.holder.tick(now=2.2)
         self.assertLessEqual(self.failed(now=2.2), once)
 
-    def test_reset_while_it_works(self) -> None:
+    def test_reset_during_request(self) -> None:
         """A flow that the target resets during a request counts."""
         self.ask(1, now=1.0)
         self.holder.from_target(answer(1, reset=True), now=1.01)
         self.assertGreater(self.failed(now=1.01), 20)
 
-    def test_end_that_nobody_planned(self) -> None:
+    def test_unplanned_end(self) -> None:
         """An unplanned end of the target counts, a planned one doesn't."""
         self.holder.target_ended(now=1.0)
         self.assertGreater(self.failed(now=1.0), 50)
@@ -144,7 +144,7 @@
 class FailingTargetTests(unittest.TestCase):
     """A balancer's use of failure rates."""
 
-    def test_left_out(self) -> None:
+    def test_excluded(self) -> None:
         """New flows wait for a healthy target rather than go to a failing one."""
         rig = SteeringRig(targets=3)
         rig.report("maps-1", now=SETTLED, failed_percent=80)
@@ -162,7 +162,7 @@
         names = {c.record.name for c in reliable(candidates)}
         self.assertEqual(names, {f"maps-{n}" for n in range(1, 7)})
 
-    def test_forgiven(self) -> None:
+    def test_retried(self) -> None:
         """A balancer without new reports tries the target again."""
         rig = SteeringRig(targets=1)
         rig.report("maps-1", now=SETTLED, failed_percent=80)
@@ -171,7 +171,7 @@
         self.assertFalse(table.candidates_of("maps", now=111.0)[0].load.failed_percent)
 
 
-class FailingWorldTests(unittest.TestCase):
+class FailingTargetSimulationTests(unittest.TestCase):
     """Simulations with failing targets."""
 
     def outcomes(self, name: str, policy: str) -> list:
--- a/tests/packets/test_holder.py
+++ b/tests/packets/test_holder.py
@@ -81,7 +81,7 @@
         self.bring(packet(syn=True))
         self.assertEqual(delivered(self.bring(packet(size=10))), 0)
 
-    def test_leaving_target_turns_away_at_once(self) -> None:
+    def test_leaving_target_rejects_at_once(self) -> None:
         """A SYN for a leaving target is rejected with a reason."""
         self.holder.condition = Condition.LEAVING
         actions = self.bring(packet(syn=True))
@@ -100,14 +100,14 @@
         self.assertEqual(delivered(actions), 0)
         self.assertEqual(len(frames(actions, Turned)), 1)
 
-    def test_target_refuses(self) -> None:
+    def test_target_returns_syn(self) -> None:
         """A SYN that the target returns is rejected to the balancer."""
         self.bring(packet(syn=True))
         actions = self.holder.from_target(packet(syn=True, returned=True), now=1.0)
         self.assertEqual(len(frames(actions, Turned)), 1)
         self.assertEqual(self.holder.flows, 0)
 
-    def test_full_target_waits_for_one_at_the_most(self) -> None:
+    def test_full_target_gets_one_more(self) -> None:
         """A full target gets at most one more SYN, and only after three rejections."""
         for number in (1, 2):
             self.open(number)
@@ -129,7 +129,7 @@
         sent = packet(size=10)
         self.assertEqual(delivered(self.bring(sent, sender=OTHER_BALANCER)), 1)
 
-    def test_open_flow_that_is_asked_for(self) -> None:
+    def test_reply_for_open_flow(self) -> None:
         """A balancer that asks for a reply learns that the target owns the flow."""
         self.open()
         actions = self.bring(packet(size=10), sender=OTHER_BALANCER, asks=True)
@@ -137,7 +137,7 @@
         self.assertEqual([f.is_open for f in frames(actions, Held)], [True])
         self.assertEqual(frames(self.bring(packet(size=10)), Held), [])
 
-    def test_unknown_flow_is_denied(self) -> None:
+    def test_unknown_flow_is_not_owned(self) -> None:
         """An agent that knows all flows of its target reports others as not owned."""
         actions = self.bring(packet(size=10))
         self.assertEqual(len(frames(actions, NotHeld)), 1)
@@ -152,7 +152,7 @@
         self.holder.from_target(answer(syn=True), now=1.0)
         self.assertEqual(self.holder.target_ended(now=2.0), [])
 
-    def test_new_run_of_the_target(self) -> None:
+    def test_new_instance(self) -> None:
         """When a new instance starts, the callers of open flows are reset at once."""
         self.open()
         actions = self.holder.started(b"i-2", is_first=True, now=2.0)
@@ -174,7 +174,7 @@
         actions = self.holder.from_target(answer(size=10), now=1.1)
         self.assertEqual([f.is_open for f in frames(actions, Held)], [True])
 
-    def test_target_sends_it_back(self) -> None:
+    def test_target_returns_probe(self) -> None:
         """A probe that the target returns is reported to its sender as not owned."""
         sent = packet(size=10)
         self.bring(sent, sender=OTHER_BALANCER)
@@ -190,7 +190,7 @@
         self.assertNotIn(ToCallerPacket, kinds(actions))
         self.assertEqual(len(frames(actions, NotHeld)), 1)
 
-    def test_another_service_is_not_guessed(self) -> None:
+    def test_another_service_is_not_probed(self) -> None:
         """A packet of another service is not probed."""
         actions = self.bring(packet(size=10), service="logs")
         self.assertEqual(delivered(actions), 0)
@@ -201,7 +201,7 @@
         self.holder.from_target(answer(7, size=10), now=1.0)
         self.assertEqual(delivered(self.bring(packet(size=10), service="*")), 1)
 
-    def test_packet_that_is_to_be_passed_on(self) -> None:
+    def test_relay(self) -> None:
         """Other agents get the packet and the balancer to reply to."""
         others = (("10.2.0.2", 7720), ("10.2.0.3", 7720))
         frame = PassOn(service="maps", payload=packet().raw, endpoints=others)
@@ -210,7 +210,7 @@
         self.assertEqual({a.frame.reply_to for a in actions}, {BALANCER})
         self.assertTrue(all(a.frame.asks for a in actions))
 
-    def test_question(self) -> None:
+    def test_query(self) -> None:
         """An agent reports the flows it owns, and whether the answer is conclusive."""
         self.holder.from_target(answer(7, size=10), now=1.0)
         flows = (packet(7).flow, packet(8).flow)
@@ -226,7 +226,7 @@
         sure = holder().answer(Whose(question=6, service="maps", flows=flows), now=1.0)
         self.assertEqual((sure.held, sure.is_sure), ((), True))
 
-    def test_question_before_the_target_is_met(self) -> None:
+    def test_query_before_first_heartbeat(self) -> None:
         """A query waits for the target's first heartbeat, but not for long."""
         question = Whose(question=8, service="maps", flows=(packet().flow,))
         made = PacketHolder(name="m", service="maps", slots=2, connections=9, log=LOG)
@@ -240,7 +240,7 @@
         self.assertEqual(frames(soon, Holds)[0].run_ms, 0)
         self.assertEqual(made.answer_pending(now=9.0), [])
 
-    def test_age_of_the_run(self) -> None:
+    def test_age_of_instance(self) -> None:
         """An instance that had just started when first seen has a known age."""
         question = Whose(question=7, service="maps", flows=(packet().flow,))
         self.assertIsNone(self.holder.answer(question, now=3.0).run_ms)
@@ -252,7 +252,7 @@
         said = met.answer(question, now=3.0)
         self.assertEqual((said.run_ms, said.is_sure), (500, False))
 
-    def test_question_for_a_flow_that_is_just_opening(self) -> None:
+    def test_query_for_opening_flow(self) -> None:
         """A flow is owned once its SYN is answered.
 
         The packet that opens it may come through another balancer.
@@ -280,13 +280,13 @@
         question = Whose(question=1, service="maps", flows=(packet().flow,))
         return self.holder.answer(question, now=now)
 
-    def test_says_so(self) -> None:
+    def test_reports_absence(self) -> None:
         """Its replies are inconclusive at first, and report that nothing listens."""
         answered = self.answer(now=1.3)
         self.assertTrue(answered.is_absent)
         self.assertFalse(answered.is_sure)
 
-    def test_sure_after_a_while(self) -> None:
+    def test_conclusive_after_a_while(self) -> None:
         """After `ABSENT_SECONDS` a target that was leaving has certainly ended."""
         self.holder.note_no_listener(now=1.0 + ABSENT_SECONDS)
         self.assertTrue(self.answer(now=1.0 + ABSENT_SECONDS).is_sure)
@@ -294,7 +294,7 @@
         answered = self.holder.ask(question, sender=BALANCER, now=9.0)
         self.assertEqual(len(frames(answered, Holds)), 1)
 
-    def test_target_that_comes(self) -> None:
+    def test_target_that_appears(self) -> None:
         """A target that sends a heartbeat after all may be older than its agent."""
         self.holder.started(b"i-1", is_first=False, now=1.5)
         self.holder.condition = Condition.SERVING
@@ -318,7 +318,7 @@
         self.assertEqual(self.holder.busy, 0)
         self.assertEqual(self.holder.load(now=2.1).service_ms, 50)
 
-    def test_time_of_a_run_leaves_out_waiting(self) -> None:
+    def test_service_time_without_wait(self) -> None:
         """The wait of a request that found all slots taken is not service time."""
         for number in (1, 2, 3):
             self.open(number)
@@ -337,7 +337,7 @@
         self.bring(packet(size=10, sequence=1_010), now=2.3)
         self.assertEqual(self.holder.busy, 1)
 
-    def test_caller_that_left_before_its_turn(self) -> None:
+    def test_fin_overtakes_request(self) -> None:
         """No slot is kept for a caller whose FIN overtakes its request.
 
         The target closes without a run, so no answer would free the slot.
@@ -357,7 +357,7 @@
         self.holder.from_target(answer(fin=True), now=1.02)
         self.assertEqual(self.holder.busy, 0)
 
-    def test_end_that_overtakes_the_answer(self) -> None:
+    def test_fin_overtakes_answer(self) -> None:
         """A target's FIN that overtakes its answer is not a failure."""
         self.open()
         self.bring(packet(size=10), now=1.0)
@@ -375,7 +375,7 @@
         self.holder.tick(now=1.2)
         self.assertEqual(self.holder.busy, 0)
 
-    def test_news_for_those_who_place_here(self) -> None:
+    def test_reports_to_placing_balancers(self) -> None:
         """Balancers that send SYNs are told of each change of load once."""
         self.open()
         self.bring(packet(syn=True, number=2), sender=OTHER_BALANCER)
@@ -384,7 +384,7 @@
         self.assertEqual([f.load.in_flight for f in frames(news, Load)], [2, 2])
         self.assertEqual(self.holder.load_reports(now=1.2), [])
 
-    def test_all_is_given_back(self) -> None:
+    def test_counts_return_to_zero(self) -> None:
         """When all flows have ended, nothing counts as busy or open."""
         for number in range(20):
             self.open(number, now=1.0)
--- a/tests/packets/test_load_reports.py
+++ b/tests/packets/test_load_reports.py
@@ -27,7 +27,7 @@
         found = self.reports.due(condition=SERVING, now=now)
         return [report.endpoint for report in found]
 
-    def test_told_with_another_frame(self) -> None:
+    def test_reported_with_another_frame(self) -> None:
         """A balancer that got the load with another frame isn't told it again."""
         for balancer in (BALANCER, OTHER_BALANCER):
             self.reports.record_placement(balancer, now=1.0)
@@ -83,7 +83,7 @@
         self.assertEqual(set(self.due(now=1.6)), set(balancers[:-MAX_REPORTS_AT_ONCE]))
 
 
-class ReplayTests(unittest.TestCase):
+class SimulationTests(unittest.TestCase):
     """Simulations with one slot a target, runs of 16 ms and many balancers."""
 
     def _play(self, **fields):
--- a/tests/packets/test_run_times.py
+++ b/tests/packets/test_run_times.py
@@ -31,7 +31,7 @@
             self.holder.from_target(done, now=self.now)
             self.number += 1
 
-    def test_learnt_while_all_slots_are_taken(self) -> None:
+    def test_estimated_while_all_slots_are_taken(self) -> None:
         """The time that a request waited at the target is left out."""
         self.play(runs=40, seconds=self.RUN_SECONDS)
         learnt = self.holder.target_load.run_seconds
@@ -55,7 +55,7 @@
         learnt = self.holder.target_load.run_seconds
         self.assertAlmostEqual(learnt, 3 * self.RUN_SECONDS, delta=0.01)
 
-    def test_failures_say_nothing(self) -> None:
+    def test_failures_are_ignored(self) -> None:
         """A request that fails at once doesn't change the estimate."""
         self.play(runs=40, seconds=self.RUN_SECONDS)
         failed = answer(self.number, size=50, failure=True)
--- a/tests/packets/test_slot_use.py
+++ b/tests/packets/test_slot_use.py
@@ -47,7 +47,7 @@
         self.assertEqual((total.silent, total.dropped), (0, 0))
         self.assertAlmostEqual(self.use.gap_seconds.sums[0], 0.005)
 
-    def test_caller_that_has_left(self) -> None:
+    def test_silent_caller(self) -> None:
         """A slot kept for a silent caller while another flow waits is counted."""
         self.bring(3, syn=True, now=1.1)
         self.holder.from_target(answer(2, syn=True), now=1.1)
@@ -57,7 +57,7 @@
         self.assertEqual(total.silent, 1)
         self.assertAlmostEqual(total.kept_in_vain, GONE_SECONDS)
 
-    def test_left_while_the_slot_was_taken(self) -> None:
+    def test_silent_caller_on_busy_slot(self) -> None:
         """A silent caller keeps no slot while another request runs on it."""
         self.open_and_ask(2, now=1.1)
         self.holder.target_load.busy -= 1  # so that one more is delivered
@@ -88,7 +88,7 @@
         ):
             self.assertIn(line, lines)
 
-    def test_lines(self) -> None:
+    def test_summaries(self) -> None:
         """A summary is due every five seconds, except for an idle target."""
         self.assertIsNone(self.use.summary_if_due(now=1.0 + LOG_INTERVAL_SECONDS - 0.1))
         used = self.use.summary_if_due(now=1.0 + LOG_INTERVAL_SECONDS)
