--- a/monsoonpier/agent/packets/admission.py
+++ b/monsoonpier/agent/packets/admission.py
@@ -80,7 +80,7 @@
 
     @property
     def announced_condition(self) -> Condition:
-        """The condition that balancers are told; shedding while evacuated."""
+        """The condition that is announced to balancers; shedding while evacuated."""
         if self.is_evacuated and self.condition is Condition.SERVING:
             return Condition.SHEDDING
         return self.condition
@@ -308,7 +308,7 @@
     def _queued_reply(
         self, packet: Packet, *, sender: tuple[str, int], now: float
     ) -> ToProcess:
-        """Return the frame that tells a balancer that its SYN is queued."""
+        """Return the frame that notifies a balancer of its queued SYN."""
         self._counts_by_result["queued"] += 1
         self._log.note(
             "flow queued",
--- a/monsoonpier/agent/packets/holder.py
+++ b/monsoonpier/agent/packets/holder.py
@@ -580,7 +580,7 @@
     def _owned_reply(
         self, flow: bytes, *, sender: tuple[str, int], is_open: bool, now: float
     ) -> ToProcess:
-        """Return the frame that tells a balancer that the target owns a flow."""
+        """Return the frame that reports to a balancer that the flow is owned."""
         load = self.load(now=now)
         frame = Held(flow=flow, agent=self._name, load=load, is_open=is_open)
         return ToProcess(endpoint=sender, frame=frame)
@@ -593,7 +593,7 @@
         now: float,
         omit_payload: bool = False,
     ) -> list:
-        """Return the frame that tells a balancer that a flow is not owned here."""
+        """Return the frame that reports to a balancer that the flow is not owned."""
         self.counts_by_result["denied"] += 1
         self._log.note(
             "flow not owned by the target",
--- a/monsoonpier/agent/packets/load_reports.py
+++ b/monsoonpier/agent/packets/load_reports.py
@@ -17,7 +17,7 @@
 
 __all__ = ["LoadReports"]
 
-# Time since a balancer's last SYN for which it is told of changes of load, and
+# How long after a balancer's last SYN it gets reports of changes of load, and
 # of changes of the failure rate.
 LOAD_REPORT_SECONDS = 3.0
 FAILURE_REPORT_SECONDS = 60.0
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Reported:
-    """The state that a balancer was last told."""
+    """The state that was last reported to a balancer."""
 
     level: LoadLevel
     failure_level: int
@@ -73,7 +73,7 @@
     def mark_reported(
         self, balancer: tuple[str, int], *, condition: Condition, now: float
     ) -> None:
-        """Record that another frame has told a balancer the present load."""
+        """Record that another frame has reported the present load to a balancer."""
         receiver = self._receivers_by_endpoint.get(balancer)
         if receiver is not None:
             receiver.known = self._present(condition, now=now)
@@ -104,7 +104,7 @@
         }
 
     def _present(self, condition: Condition, *, now: float) -> _Reported:
-        """Return the present state, as balancers are told it."""
+        """Return the present state."""
         present = _Reported(
             level=self._load.level,
             failure_level=self._load.failure_level(now=now),
@@ -115,7 +115,7 @@
         return self._last_state if present == self._last_state else present
 
     def _is_due(self, receiver: _Receiver, present: _Reported, *, now: float) -> bool:
-        """Return whether a balancer must be told of the present state."""
+        """Return whether the present state must be reported to a balancer."""
         known = receiver.known
         if known is present or (known is not None and known.is_near(present)):
             return False
@@ -130,18 +130,18 @@
     def _within_budget(
         self, due: list[tuple[str, int]], present: _Reported, *, now: float
     ) -> list[tuple[str, int]]:
-        """Return the balancers to tell now; the others are due again later."""
+        """Return the balancers to notify now; the others remain due."""
         rate = MAX_REPORTS_PER_SECOND * self._load.busy_share(now=now)
         earned = (now - self._budget_at) * max(MIN_REPORTS_PER_SECOND, rate)
         self._budget = min(MAX_REPORTS_AT_ONCE, self._budget + earned)
         self._budget_at = now
         receivers = self._receivers_by_endpoint
         due.sort(key=lambda endpoint: receivers[endpoint].last_placed_at, reverse=True)
-        told = due[: int(self._budget)]
-        self._budget -= len(told)
-        for endpoint in told:
+        notified = due[: int(self._budget)]
+        self._budget -= len(notified)
+        for endpoint in notified:
             receivers[endpoint].known = present
-        return told
+        return notified
 
     def _log_failure_change(self, level: int, *, now: float) -> None:
         """Log that the failure rate has risen or fallen."""
--- a/monsoonpier/agent/packets/process.py
+++ b/monsoonpier/agent/packets/process.py
@@ -145,7 +145,7 @@
         return self._life.is_ready
 
     async def run(self) -> None:
-        """Serve until told to shut down and requests in flight are done.
+        """Serve until the process is shut down and requests in flight are done.
 
         Raises:
             OSError: If a port is in use.
@@ -327,8 +327,9 @@
     def _target_absent(self) -> None:
         """Announce that nothing has listened since the start of this agent.
 
-        Balancers are told unasked: a VM that starts without its target after a
-        loss of power may be stopped before a balancer queries it.
+        The announcement doesn't wait for a query: a VM that starts without its
+        target after a loss of power may be stopped before any balancer sends
+        one.
         """
         self._holder.note_no_listener(now=_now())
         if self._holder.is_absent and not self._link.record.is_absent:
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -125,7 +125,7 @@
         self.assertEqual(turned.load.queued, 2)
 
     def test_retransmission_of_queued_syn(self) -> None:
-        """A retransmission takes no second place; its balancer is told it is queued."""
+        """A retransmission takes no second place, and its balancer is notified."""
         self.bring(3, now=1.01)
         actions = self.bring(3, now=1.21)
         self.assertEqual(len(frames(actions, Queued)), 1)
--- a/tests/packets/test_agent_process.py
+++ b/tests/packets/test_agent_process.py
@@ -114,7 +114,7 @@
         self.assertIs(self.holder.condition, Condition.GONE)
 
     async def test_absence_is_announced(self) -> None:
-        """Balancers are told that no target was found, until one starts."""
+        """Balancers are notified that no target was found, until one starts."""
         self.process._target_absent()
         self.assertTrue(self.process._link.record.is_absent)
         change = self.process._link.record.change
@@ -200,54 +200,54 @@
         self.process = process()
         self.holder = self.process._holder
 
-    def hear(self, **fields) -> None:
+    def send_heartbeat(self, **fields) -> None:
         self.assertTrue(self.process.take(heartbeat(**fields)))
 
     async def test_sequence_starts_again(self) -> None:
         """A new instance's first heartbeat is accepted despite its low sequence."""
-        self.hear(born=1_000, sequence=70, is_draining=True)
-        self.hear(born=9_000, sequence=1)
+        self.send_heartbeat(born=1_000, sequence=70, is_draining=True)
+        self.send_heartbeat(born=9_000, sequence=1)
         self.assertIs(self.holder.condition, Condition.SERVING)
         self.assertEqual(self.holder.instance, b"i-1@9000")
 
     async def test_stale_heartbeat_of_previous_instance(self) -> None:
         """A higher sequence doesn't bring the earlier instance back."""
-        self.hear(born=9_000, sequence=1)
-        self.hear(born=1_000, sequence=70, is_draining=True)
+        self.send_heartbeat(born=9_000, sequence=1)
+        self.send_heartbeat(born=1_000, sequence=70, is_draining=True)
         self.assertIs(self.holder.condition, Condition.SERVING)
-        self.hear(born=9_000, sequence=2)
-        self.hear(born=1_000, sequence=71, is_draining=True)
+        self.send_heartbeat(born=9_000, sequence=2)
+        self.send_heartbeat(born=1_000, sequence=71, is_draining=True)
         self.assertIs(self.holder.condition, Condition.SERVING)
 
     async def test_flows_of_previous_instance(self) -> None:
         """The callers of the earlier instance's flows are reset at once."""
-        self.hear(born=1_000, sequence=70)
+        self.send_heartbeat(born=1_000, sequence=70)
         ended: list = []
         self.holder.target_ended = lambda *, now: ended.append(now) or []
-        self.hear(born=9_000, sequence=1)
+        self.send_heartbeat(born=9_000, sequence=1)
         self.assertEqual(len(ended), 1)
 
     async def test_clock_set_back_between_instances(self) -> None:
         """An instance that looks older is served after a second heartbeat."""
-        self.hear(born=9_000, sequence=70)
-        self.hear(born=1_000, sequence=1)
+        self.send_heartbeat(born=9_000, sequence=70)
+        self.send_heartbeat(born=1_000, sequence=1)
         self.assertEqual(self.holder.instance, b"i-1@9000")
-        self.hear(born=1_000, sequence=2)
+        self.send_heartbeat(born=1_000, sequence=2)
         self.assertEqual(self.holder.instance, b"i-1@1000")
-        self.hear(born=9_000, sequence=71)
+        self.send_heartbeat(born=9_000, sequence=71)
         self.assertEqual(self.holder.instance, b"i-1@1000")
 
     async def test_clock_set_back_after_known_end(self) -> None:
         """One heartbeat is enough if the earlier instance is known to have ended."""
-        self.hear(born=9_000, sequence=70)
+        self.send_heartbeat(born=9_000, sequence=70)
         self.process._target_gone()
-        self.hear(born=1_000, sequence=1)
+        self.send_heartbeat(born=1_000, sequence=1)
         self.assertIs(self.holder.condition, Condition.SERVING)
 
     async def test_leave_notice_of_previous_instance(self) -> None:
         """A delayed leave notice doesn't affect the new instance."""
-        self.hear(born=1_000, sequence=70)
-        self.hear(born=9_000, sequence=1)
+        self.send_heartbeat(born=1_000, sequence=70)
+        self.send_heartbeat(born=9_000, sequence=1)
         self.process.take(farewell("i-1", born=1_000))
         self.process.take(farewell("i-1"))
         self.assertIs(self.holder.condition, Condition.SERVING)
@@ -259,15 +259,15 @@
 
         Only an unplanned end does.
         """
-        self.hear(born=1_000, sequence=70, is_draining=True)
+        self.send_heartbeat(born=1_000, sequence=70, is_draining=True)
         load = self.holder.target_load
         for number in range(20):
             load._failures.count(is_failure=True, now=number / 1e6)
-        self.hear(born=9_000, sequence=1)
+        self.send_heartbeat(born=9_000, sequence=1)
         self.assertEqual(load.failed_percent(now=0.1), 0)
 
     async def test_without_start_time(self) -> None:
         """Without a start time, instances differ by identity alone."""
-        self.hear(sequence=5)
-        self.hear(instance="i-2", sequence=1)
+        self.send_heartbeat(sequence=5)
+        self.send_heartbeat(instance="i-2", sequence=1)
         self.assertEqual(self.holder.instance, b"i-2")
--- a/tests/packets/test_holder.py
+++ b/tests/packets/test_holder.py
@@ -376,7 +376,7 @@
         self.assertEqual(self.holder.busy, 0)
 
     def test_reports_to_placing_balancers(self) -> None:
-        """Balancers that send SYNs are told of each change of load once."""
+        """Balancers that send SYNs get a report of each change of load once."""
         self.open()
         self.bring(packet(syn=True, number=2), sender=OTHER_BALANCER)
         news = self.holder.load_reports(now=1.1)
--- a/tests/packets/test_load_reports.py
+++ b/tests/packets/test_load_reports.py
@@ -28,7 +28,7 @@
         return [report.endpoint for report in found]
 
     def test_reported_with_another_frame(self) -> None:
-        """A balancer that got the load with another frame isn't told it again."""
+        """A balancer that got the load with another frame gets no report of it."""
         for balancer in (BALANCER, OTHER_BALANCER):
             self.reports.record_placement(balancer, now=1.0)
         self.load.busy = 2
@@ -37,7 +37,7 @@
         self.assertEqual(self.due(now=1.006), [])
 
     def test_back_again(self) -> None:
-        """A balancer that never knew of a taken slot isn't told that it is free."""
+        """A balancer that missed a slot's use gets no report that it is free again."""
         for balancer in (BALANCER, OTHER_BALANCER):
             self.reports.record_placement(balancer, now=1.0)
         self.due(now=1.0)
@@ -74,12 +74,12 @@
         self.assertGreaterEqual(sent, 10 * MIN_REPORTS_PER_SECOND)
 
     def test_budget_serves_the_latest_first(self) -> None:
-        """When not all can be told, the balancers that placed last are."""
+        """When the budget is short, the balancers that placed last get reports."""
         balancers = [("10.1.0.1", port) for port in range(100)]
         for number, balancer in enumerate(balancers):
             self.reports.record_placement(balancer, now=number / 1_000)
-        told = self.due(now=0.1)
-        self.assertEqual(set(told), set(balancers[-MAX_REPORTS_AT_ONCE:]))
+        notified = self.due(now=0.1)
+        self.assertEqual(set(notified), set(balancers[-MAX_REPORTS_AT_ONCE:]))
         self.assertEqual(set(self.due(now=1.6)), set(balancers[:-MAX_REPORTS_AT_ONCE]))
 
 
