--- a/monsoonpier/__main__.py
+++ b/monsoonpier/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line: ``python -m monsoonpier``."""
+"""Entry point of ``python -m monsoonpier``."""
 
 from monsoonpier.cli import main
 
--- a/monsoonpier/cli/__init__.py
+++ b/monsoonpier/cli/__init__.py
@@ -1,21 +1,21 @@
-"""The command line: one program, a subcommand for each process and command."""
+"""The command line: processes and operators' commands as subcommands."""
 
 import sys
 
 from monsoonpier.cli import operator, processes
-from monsoonpier.cli.common import Failure, app
+from monsoonpier.cli.common import CommandError, app
 from monsoonpier.exits import Exit
 
 __all__ = ["main", "operator", "processes"]
 
 
 def main() -> None:
-    """Run the command line; errors are one line each and have their status."""
+    """Run the command line and exit; print errors as one line on stderr."""
     try:
         status = app(result_action="return_value")
-    except Failure as failure:
-        print(failure, file=sys.stderr)
-        sys.exit(failure.status)
+    except CommandError as command_error:
+        print(command_error, file=sys.stderr)
+        sys.exit(command_error.status)
     except OSError as error:
         print(f"monsoonpier: {error.strerror or error}", file=sys.stderr)
         sys.exit(Exit.UNAVAILABLE)
--- a/monsoonpier/cli/common.py
+++ b/monsoonpier/cli/common.py
@@ -1,4 +1,4 @@
-"""What all commands share: the program, its failures, settings and the loop."""
+"""The application, errors, settings and event loop of all commands."""
 
 import asyncio
 from pathlib import Path
@@ -9,9 +9,9 @@
 from monsoonpier import __version__
 from monsoonpier.exits import Exit
 
-__all__ = ["Failure", "Level", "app", "load", "run_loop"]
+__all__ = ["CommandError", "LogLevel", "app", "load_or_fail", "run_coroutine"]
 
-Level = Literal["debug", "info", "warning", "error"]
+LogLevel = Literal["debug", "info", "warning", "error"]
 
 app = App(
     name="monsoonpier",
@@ -20,27 +20,31 @@
 )
 
 
-class Failure(Exception):
-    """Something a person can put right: a message and an exit status."""
+class CommandError(Exception):
+    """An error to print for the user, with the exit status of the command."""
 
     def __init__(self, message: str, status: Exit) -> None:
         super().__init__(message)
         self.status = status
 
 
-def load(file: Path, role: str):
-    """Return loaded settings; end with all findings if there are any."""
+def load_or_fail(file: Path, role: str):
+    """Load a process's settings.
+
+    Raises:
+        CommandError: If the file has errors; the message lists them all.
+    """
     from monsoonpier.documents.settings import load_settings
     from monsoonpier.model.findings import report
 
     loaded = load_settings(file, role=role)
     if loaded.settings is None:
-        raise Failure(report(loaded.findings), Exit.BAD_INPUT)
+        raise CommandError(report(loaded.findings), Exit.BAD_INPUT)
     return loaded
 
 
-def run_loop(coroutine) -> int:
-    """Run a command to its end and return its exit status."""
+def run_coroutine(coroutine) -> int:
+    """Run a command's coroutine and return its exit status."""
     import uvloop
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/monsoonpier/cli/operator.py
+++ b/monsoonpier/cli/operator.py
@@ -1,11 +1,17 @@
-"""Operators' commands; what they do is in `monsoonpier.operator`."""
+"""Operators' commands, implemented in `monsoonpier.operator`."""
 
 from pathlib import Path
 from typing import Annotated
 
 from cyclopts import Parameter
 
-from monsoonpier.cli.common import Failure, Level, app, load, run_loop
+from monsoonpier.cli.common import (
+    CommandError,
+    LogLevel,
+    app,
+    load_or_fail,
+    run_coroutine,
+)
 from monsoonpier.exits import Exit
 
 __all__ = [
@@ -21,20 +27,20 @@
     "status",
 ]
 
-Files = Annotated[list[Path], Parameter(help="Operators' files, or a folder of them.")]
+Files = Annotated[list[Path], Parameter(help="Files of services, or a folder of them.")]
 SettingsFile = Annotated[
     Path,
     Parameter(
         name="--settings",
-        help="Settings of role operator: platform addresses and keys.",
+        help="Settings file for the role operator: platform addresses and keys.",
         env_var="MONSOONPIER_SETTINGS_FILE",
     ),
 ]
 
 
 @app.command
-def check(files: Files, *, log_level: Level = "warning") -> int:
-    """Check files of services; report everything that is wrong with them.
+def check(files: Files, *, log_level: LogLevel = "warning") -> int:
+    """Check files of services and print all errors in them.
 
     Example: monsoonpier check services/
     """
@@ -51,21 +57,22 @@
     who: str = "",
     wait: bool = False,
     wait_seconds: float = 13.0,
-    log_level: Level = "warning",
+    log_level: LogLevel = "warning",
 ) -> int:
-    """Put a whole set of files in force, or nothing of it.
+    """Replace the configuration by a set of files, if all of them are valid.
 
     Example: monsoonpier apply services/ --settings operator.yaml --wait
 
     Args:
-        who: Your name for the audit trail; by default the login name.
-        wait: Wait until every balancer has it in force, and name those that lag.
-        wait_seconds: How long to wait at the most.
-        log_level: The least level that is logged.
+        who: Your name for the audit trail; defaults to the login name.
+        wait: Wait until it is in force on every balancer, and name those that
+            lag.
+        wait_seconds: The longest time to wait, in seconds.
+        log_level: The lowest level that is logged.
     """
     from monsoonpier.operator import commands
 
-    return _operate(
+    return _run_with_session(
         settings,
         log_level,
         lambda session: commands.apply_files(
@@ -75,14 +82,16 @@
 
 
 @app.command
-def diff(files: Files, *, settings: SettingsFile, log_level: Level = "warning") -> int:
+def diff(
+    files: Files, *, settings: SettingsFile, log_level: LogLevel = "warning"
+) -> int:
     """Show what applying the files would change.
 
     Example: monsoonpier diff services/ --settings operator.yaml
     """
     from monsoonpier.operator import commands
 
-    return _operate(
+    return _run_with_session(
         settings, log_level, lambda session: commands.show_difference(session, files)
     )
 
@@ -93,20 +102,20 @@
     settings: SettingsFile,
     as_json: bool = False,
     slots: bool = False,
-    log_level: Level = "warning",
+    log_level: LogLevel = "warning",
 ) -> int:
-    """Show balancers, targets, how callers fare, and the versions in force.
+    """Show balancers, targets, callers' waits and the versions in force.
 
     Example: monsoonpier status --settings operator.yaml
 
     Args:
         as_json: Print one JSON object instead of a table.
-        slots: Ask the targets' agents too, what their slots do for two seconds.
-        log_level: The least level that is logged.
+        slots: Measure for two seconds how the targets' slots are used, too.
+        log_level: The lowest level that is logged.
     """
     from monsoonpier.operator import commands
 
-    return _operate(
+    return _run_with_session(
         settings,
         log_level,
         lambda session: commands.show_status(
@@ -117,7 +126,7 @@
 
 @app.command
 def history(
-    *, settings: SettingsFile, count: int = 20, log_level: Level = "warning"
+    *, settings: SettingsFile, count: int = 20, log_level: LogLevel = "warning"
 ) -> int:
     """Show the audit trail of changes, the newest first.
 
@@ -125,11 +134,11 @@
 
     Args:
         count: How many changes to show.
-        log_level: The least level that is logged.
+        log_level: The lowest level that is logged.
     """
     from monsoonpier.operator import commands
 
-    return _operate(
+    return _run_with_session(
         settings, log_level, lambda session: commands.show_history(session, count=count)
     )
 
@@ -142,7 +151,7 @@
     who: str = "",
     wait: bool = False,
     wait_seconds: float = 13.0,
-    log_level: Level = "warning",
+    log_level: LogLevel = "warning",
 ) -> int:
     """Apply the files of an earlier version as a new version.
 
@@ -150,14 +159,15 @@
 
     Args:
         version: The version whose files are applied again.
-        who: Your name for the audit trail; by default the login name.
-        wait: Wait until every balancer has it in force, and name those that lag.
-        wait_seconds: How long to wait at the most.
-        log_level: The least level that is logged.
+        who: Your name for the audit trail; defaults to the login name.
+        wait: Wait until it is in force on every balancer, and name those that
+            lag.
+        wait_seconds: The longest time to wait, in seconds.
+        log_level: The lowest level that is logged.
     """
     from monsoonpier.operator import commands
 
-    return _operate(
+    return _run_with_session(
         settings,
         log_level,
         lambda session: commands.roll_back(
@@ -167,18 +177,18 @@
 
 
 @app.command
-def drain(name: str, *, settings: SettingsFile, log_level: Level = "warning") -> int:
-    """Ask a balancer or a target's agent to leave gracefully.
+def drain(name: str, *, settings: SettingsFile, log_level: LogLevel = "warning") -> int:
+    """Ask a balancer or a target's agent to drain and shut down.
 
     Example: monsoonpier drain maps-3 --settings operator.yaml
 
     Args:
         name: The process's name, as `status` shows it.
-        log_level: The least level that is logged.
+        log_level: The lowest level that is logged.
     """
     from monsoonpier.operator import commands
 
-    return _operate(
+    return _run_with_session(
         settings, log_level, lambda session: commands.drain_process(session, name)
     )
 
@@ -192,23 +202,26 @@
     force: bool = False,
     wait: bool = False,
     wait_seconds: float = 13.0,
-    log_level: Level = "warning",
+    log_level: LogLevel = "warning",
 ) -> int:
-    """Let no new work go to a data centre; open flows stay.
+    """Send no new work to a data centre; open flows are kept.
 
     Example: monsoonpier evacuate hall-2 --settings operator.yaml --wait
 
     Args:
-        data_centre: Its name, as `status` shows it beside each target.
-        who: Your name for the audit trail; by default the login name.
-        force: Do it though no other data centre serves one of its services.
-        wait: Wait until every balancer obeys, and name those that lag.
-        wait_seconds: How long to wait at the most.
-        log_level: The least level that is logged.
+        data_centre: The data centre's name, as `status` shows it for each
+            target.
+        who: Your name for the audit trail; defaults to the login name.
+        force: Evacuate even if no other data centre serves one of its
+            services.
+        wait: Wait until it is in force on every balancer, and name those that
+            lag.
+        wait_seconds: The longest time to wait, in seconds.
+        log_level: The lowest level that is logged.
     """
     from monsoonpier.operator import evacuation_commands
 
-    return _operate(
+    return _run_with_session(
         settings,
         log_level,
         lambda session: evacuation_commands.evacuate(
@@ -229,22 +242,23 @@
     who: str = "",
     wait: bool = False,
     wait_seconds: float = 13.0,
-    log_level: Level = "warning",
+    log_level: LogLevel = "warning",
 ) -> int:
-    """Let new work go to an evacuated data centre again.
+    """Send new work to an evacuated data centre again.
 
     Example: monsoonpier readmit hall-2 --settings operator.yaml --wait
 
     Args:
-        data_centre: Its name.
-        who: Your name for the audit trail; by default the login name.
-        wait: Wait until every balancer obeys, and name those that lag.
-        wait_seconds: How long to wait at the most.
-        log_level: The least level that is logged.
+        data_centre: The data centre's name.
+        who: Your name for the audit trail; defaults to the login name.
+        wait: Wait until it is in force on every balancer, and name those that
+            lag.
+        wait_seconds: The longest time to wait, in seconds.
+        log_level: The lowest level that is logged.
     """
     from monsoonpier.operator import evacuation_commands
 
-    return _operate(
+    return _run_with_session(
         settings,
         log_level,
         lambda session: evacuation_commands.readmit(
@@ -258,31 +272,32 @@
     flow: str,
     logs: Annotated[list[Path], Parameter(help="Log files of all processes.")],
 ) -> int:
-    """Show what every process decided about one flow, in order.
+    """Show what all processes logged about one flow, in order.
 
     Example: monsoonpier explain 100.64.0.7:40001 /var/log/monsoonpier/*.log
 
     Args:
-        flow: The caller's ip:port, or a flow's whole name as logs have it.
+        flow: The caller's ip:port, or a flow's whole name as it is logged.
     """
-    from monsoonpier.operator.explain import explain as join, read_lines, render
+    from monsoonpier.operator.explain import explain as select, format_lines, read_lines
 
-    story = join(read_lines(logs), flow=flow)
-    if not story:
-        raise Failure(f"no line about {flow}", Exit.NOT_FOUND)
-    print(render(story))
+    lines = select(read_lines(logs), flow=flow)
+    if not lines:
+        raise CommandError(f"no line about {flow}", Exit.NOT_FOUND)
+    print(format_lines(lines))
     return Exit.OK
 
 
-def _operate(settings_file: Path, log_level: str, command) -> int:
+def _run_with_session(settings_file: Path, log_level: str, command) -> int:
+    """Load the settings and run ``command`` with a new operator session."""
     from monsoonpier.operator.session import OperatorSession
     from monsoonpier.process.logs import configure_logs
 
-    settings = load(settings_file, "operator").settings
+    settings = load_or_fail(settings_file, "operator").settings
     configure_logs(level=log_level, process=settings.name, role="operator")
 
     async def run() -> int:
         async with OperatorSession(settings=settings) as session:
             return await command(session)
 
-    return run_loop(run())
+    return run_coroutine(run())
--- a/monsoonpier/cli/processes.py
+++ b/monsoonpier/cli/processes.py
@@ -1,9 +1,15 @@
-"""Commands that run a process until it is told to leave, or one call."""
+"""Commands that run a balancer or an agent, or call a service."""
 
 import json
 from pathlib import Path
 
-from monsoonpier.cli.common import Failure, Level, app, load, run_loop
+from monsoonpier.cli.common import (
+    CommandError,
+    LogLevel,
+    app,
+    load_or_fail,
+    run_coroutine,
+)
 from monsoonpier.exits import Exit
 
 __all__ = ["agent", "balancer", "call"]
@@ -11,18 +17,20 @@
 
 @app.command
 def balancer(
-    settings: Path, *, print_settings: bool = False, log_level: Level = "info"
+    settings: Path, *, print_settings: bool = False, log_level: LogLevel = "info"
 ) -> int:
     """Run a balancer on an entry VM until SIGTERM.
 
     Example: monsoonpier balancer /etc/monsoonpier/balancer.yaml
 
     Args:
-        settings: The process's settings file; MONSOONPIER_<KEY> variables override it.
-        print_settings: Print the settings in force, keys masked, and exit.
-        log_level: The least level that is logged.
+        settings: The settings file; environment variables
+            with the prefix MONSOONPIER_ override it.
+        print_settings: Print the effective settings with masked keys, and
+            exit.
+        log_level: The lowest level that is logged.
     """
-    loaded = load(settings, "balancer")
+    loaded = load_or_fail(settings, "balancer")
     if print_settings:
         return _print_settings(loaded)
     from monsoonpier.balancer.tokens.process import BalancerProcess
@@ -32,18 +40,20 @@
 
 @app.command
 def agent(
-    settings: Path, *, print_settings: bool = False, log_level: Level = "info"
+    settings: Path, *, print_settings: bool = False, log_level: LogLevel = "info"
 ) -> int:
-    """Run an agent beside its target until SIGTERM.
+    """Run the agent of a target until SIGTERM.
 
     Example: monsoonpier agent /etc/monsoonpier/agent.yaml
 
     Args:
-        settings: The process's settings file; MONSOONPIER_<KEY> variables override it.
-        print_settings: Print the settings in force, keys masked, and exit.
-        log_level: The least level that is logged.
+        settings: The settings file; environment variables
+            with the prefix MONSOONPIER_ override it.
+        print_settings: Print the effective settings with masked keys, and
+            exit.
+        log_level: The lowest level that is logged.
     """
-    loaded = load(settings, "agent")
+    loaded = load_or_fail(settings, "agent")
     if print_settings:
         return _print_settings(loaded)
     from monsoonpier.agent.tokens.process import AgentProcess
@@ -63,7 +73,7 @@
     items: int = 0,
     idempotent: bool = False,
     deadline: float = 10.0,
-    log_level: Level = "warning",
+    log_level: LogLevel = "warning",
 ) -> int:
     """Call a service: one request, an upload from a file, or a stream.
 
@@ -73,15 +83,15 @@
 
     Args:
         address: The service's address, ip:port.
-        kind: The kind of work, as the configuration names it.
+        kind: The kind of request, as named in the configuration.
         body: The request's body.
         file: Send this file's content as the body.
-        stream: Read a stream and write its items to stdout, one a line.
-        after: Begin the stream after this item.
-        items: End after so many items of the stream; 0 is without end.
-        idempotent: The work may be run again if it may have run.
-        deadline: Seconds after which the answer is of no use.
-        log_level: The least level that is logged.
+        stream: Read a stream and write its items to stdout, one per line.
+        after: Start the stream after the item of this number.
+        items: Stop after this number of items; 0 reads the whole stream.
+        idempotent: The request may safely be run more than once.
+        deadline: Time limit for the response, in seconds.
+        log_level: The lowest level that is logged.
     """
     from monsoonpier.caller.command import Call, run_call
     from monsoonpier.process.logs import configure_logs
@@ -92,8 +102,8 @@
         try:
             content = file.read_bytes()
         except OSError as error:
-            raise Failure(f"{file}: {error.strerror}", Exit.BAD_INPUT) from error
-    order = Call(
+            raise CommandError(f"{file}: {error.strerror}", Exit.BAD_INPUT) from error
+    arguments = Call(
         address=address,
         kind=kind,
         body=content,
@@ -103,7 +113,7 @@
         idempotent=idempotent,
         deadline=deadline,
     )
-    return run_loop(run_call(order))
+    return run_coroutine(run_call(arguments))
 
 
 def _print_settings(loaded) -> int:
@@ -126,4 +136,4 @@
         await process(settings=settings).run()
         return Exit.OK
 
-    return run_loop(run())
+    return run_coroutine(run())
--- a/monsoonpier/operator/__init__.py
+++ b/monsoonpier/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' commands: check, apply, diff, status, history, rollback, drain."""
+"""The operators' commands, such as apply, status and evacuate."""
--- a/monsoonpier/operator/caller_waits.py
+++ b/monsoonpier/operator/caller_waits.py
@@ -1,8 +1,10 @@
-"""How callers fare by service, priority and data centre: what ``status`` tells.
+"""Waits and rejections of callers by service, priority and data centre.
 
-Callers enter in their own data centre, so a data centre's balancers stand for its
-callers. All targets serve everybody: where one data centre's callers wait longer or
-are refused more than the others', knowledge of free slots is spread unevenly.
+The ``status`` command shows them. Callers use the balancers of their own data
+centre, so these balancers' counts describe that data centre's callers. Every
+target serves callers of all data centres, so the waits and rejections should
+be alike everywhere. Longer waits or more rejections in one data centre suggest
+that its balancers know of fewer free slots than the others.
 """
 
 import math
@@ -13,37 +15,42 @@
 from monsoonpier.model.waiting_summary import WaitingSummary
 from monsoonpier.wire.control import StatusReply
 
-__all__ = ["ClassWaits", "caller_waits", "waiting_lines"]
+__all__ = ["ClassWaits", "caller_lines", "summarise_callers"]
 
-# Of the latency that callers want: who waits so much longer than others has less
-# than three quarters of it left for the way and the run.
-UNFAIR_AIM_SHARE = 0.25
-# Of callers, more than elsewhere: one in twenty is what a user notices in a day.
-UNFAIR_REFUSED_SHARE = 0.05
-CHANCE_ERRORS = 2.0  # standard errors: chance alone marks one in forty
-MIN_FLOWS = 50  # lately, on either side: the mean of fewer waits says little
+# Differences between a data centre and the others above which it is marked.
+UNFAIR_WAIT_SHARE = 0.25  # of mean waits, as a share of the latency target
+UNFAIR_REFUSED_SHARE = 0.05  # of rejected shares
+CHANCE_ERRORS = 2.0  # in standard errors; smaller differences may be chance
+MIN_FLOWS = 50  # recent flows needed on each side of a comparison
 
-LONGER = "waits longer than elsewhere"
-MORE = "refused more than elsewhere"
+WAITS_LONGER = "waits longer than elsewhere"
+REFUSED_MORE = "refused more than elsewhere"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClassWaits:
-    """The callers of one service and priority that enter in one data centre.
+    """Waits and rejections of one class of callers in one data centre.
+
+    A class is the callers of one service with one priority. Recent counts
+    decay with time, so they need not be whole numbers.
 
     Attributes:
-        service, priority, data_centre: Which they are.
-        in_time, late: How many wait now.
-        oldest_seconds: Since the one that asked first did.
-        expected_seconds: The longest that a balancer expects for one more; ``None``
-            where none knows a target that serves.
-        mean_wait_seconds: Of those served lately and those that wait now.
-        refused_share: Of those served or refused lately.
-        lately: How many were served, were refused or wait, lately.
-        asked, served_late: How many so far.
-        refused_by_reason: So far.
-        served_by_data_centre: So far, by where the targets are.
-        marks: In what they fare clearly worse than the others of their class.
+        service, priority, data_centre: The class and the callers' data centre.
+        in_time, late: Flows waiting now, within the latency target and beyond
+            it.
+        oldest_seconds: Longest time that any of the waiting flows has waited.
+        expected_seconds: Longest wait that a balancer expects for a new flow;
+            ``None`` if no balancer has a record of a serving target.
+        mean_wait_seconds: Mean wait of recently served and of waiting flows.
+        refused_share: Share of rejected flows among recently served and
+            rejected ones.
+        lately: Number of flows recently served, recently rejected or waiting.
+        asked, served_late: Flows since the balancers' start: all, and those
+            served beyond the latency target.
+        refused_by_reason: Rejected flows since the balancers' start.
+        served_by_data_centre: Served flows since the balancers' start, by the
+            data centre of their target.
+        marks: Measures that are clearly worse than in the other data centres.
     """
 
     service: str
@@ -64,8 +71,15 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Lately:
-    """Served, refused and waiting flows of one place, or of several."""
+class _RecentCounts:
+    """Recent flows of one class in one or more data centres.
+
+    Attributes:
+        decided: Served or rejected flows.
+        refused: Rejected flows.
+        waited: Served flows and flows that wait now.
+        wait_seconds: Sum of the waits of these.
+    """
 
     decided: float
     refused: float
@@ -81,33 +95,38 @@
         return self.wait_seconds / self.waited if self.waited else 0.0
 
 
-def caller_waits(statuses: Iterable[StatusReply | None]) -> tuple[ClassWaits, ...]:
-    """Add up what balancers tell, by class of work and data centre."""
-    found: dict[tuple[str, int], dict[str, list[WaitingSummary]]] = {}
+def summarise_callers(statuses: Iterable[StatusReply | None]) -> tuple[ClassWaits, ...]:
+    """Sum the balancers' reports by service, priority and data centre."""
+    summaries_by_class: dict[tuple[str, int], dict[str, list[WaitingSummary]]] = {}
     for status in statuses:
         for summary in status.waiting if status else ():
-            places = found.setdefault((summary.service, summary.priority), {})
-            places.setdefault(status.data_centre, []).append(summary)
+            by_data_centre = summaries_by_class.setdefault(
+                (summary.service, summary.priority), {}
+            )
+            by_data_centre.setdefault(status.data_centre, []).append(summary)
     return tuple(
-        _class_waits(data_centre, places)
-        for _, places in sorted(found.items())
-        for data_centre in sorted(places)
+        _class_waits(data_centre, by_data_centre)
+        for _, by_data_centre in sorted(summaries_by_class.items())
+        for data_centre in sorted(by_data_centre)
     )
 
 
-def waiting_lines(waits: Iterable[ClassWaits]) -> list[str]:
-    """Describe each class of work that anybody has asked for."""
-    return [_line(each) for each in waits if each.asked]
+def caller_lines(waits: Iterable[ClassWaits]) -> list[str]:
+    """Return a line of text for each class that any caller has used."""
+    return [_format_line(each) for each in waits if each.asked]
 
 
 def _class_waits(
-    data_centre: str, places: dict[str, list[WaitingSummary]]
+    data_centre: str, summaries_by_data_centre: dict[str, list[WaitingSummary]]
 ) -> ClassWaits:
-    own = places[data_centre]
+    own = summaries_by_data_centre[data_centre]
     others = [
-        s for place, found in places.items() if place != data_centre for s in found
+        s
+        for name, summaries in summaries_by_data_centre.items()
+        if name != data_centre
+        for s in summaries
     ]
-    lately = _lately(own)
+    recent = _sum_recent(own)
     expected = [s.expected_seconds for s in own if s.expected_seconds is not None]
     return ClassWaits(
         service=own[0].service,
@@ -117,58 +136,65 @@
         late=sum(summary.late for summary in own),
         oldest_seconds=max(summary.oldest_seconds for summary in own),
         expected_seconds=max(expected, default=None),
-        mean_wait_seconds=lately.mean_wait_seconds,
-        refused_share=lately.refused_share,
-        lately=lately.refused + lately.waited,
+        mean_wait_seconds=recent.mean_wait_seconds,
+        refused_share=recent.refused_share,
+        lately=recent.refused + recent.waited,
         asked=sum(summary.asked for summary in own),
         served_late=sum(summary.served_late for summary in own),
-        refused_by_reason=_added(summary.refused_by_reason for summary in own),
-        served_by_data_centre=_added(summary.served_by_data_centre for summary in own),
-        marks=_marks(lately, _lately(others), aim_seconds=own[0].aim_seconds),
+        refused_by_reason=_sum_counts(summary.refused_by_reason for summary in own),
+        served_by_data_centre=_sum_counts(
+            summary.served_by_data_centre for summary in own
+        ),
+        marks=_find_marks(recent, _sum_recent(others), aim_seconds=own[0].aim_seconds),
     )
 
 
-def _lately(summaries: Iterable[WaitingSummary]) -> _Lately:
-    found = list(summaries)
-    served = sum(summary.lately.served for summary in found)
-    refused = sum(summary.lately.refused for summary in found)
-    waits = sum(s.lately.wait_seconds + s.waited_seconds for s in found)
-    return _Lately(
+def _sum_recent(summaries: Iterable[WaitingSummary]) -> _RecentCounts:
+    listed = list(summaries)
+    served = sum(summary.lately.served for summary in listed)
+    refused = sum(summary.lately.refused for summary in listed)
+    waits = sum(s.lately.wait_seconds + s.waited_seconds for s in listed)
+    return _RecentCounts(
         decided=served + refused,
         refused=refused,
-        waited=served + sum(summary.waiting for summary in found),
+        waited=served + sum(summary.waiting for summary in listed),
         wait_seconds=waits,
     )
 
 
-def _marks(own: _Lately, others: _Lately, *, aim_seconds: float) -> tuple[str, ...]:
+def _find_marks(
+    own: _RecentCounts, others: _RecentCounts, *, aim_seconds: float
+) -> tuple[str, ...]:
+    """Return the measures that are clearly worse in ``own``."""
     marks = []
-    longer = own.mean_wait_seconds - others.mean_wait_seconds
-    are_waits_known = min(own.waited, others.waited) >= MIN_FLOWS
-    if are_waits_known and longer > UNFAIR_AIM_SHARE * aim_seconds:
-        marks.append(LONGER)
-    more = own.refused_share - others.refused_share
-    are_shares_known = min(own.decided, others.decided) >= MIN_FLOWS
-    if are_shares_known and more > max(UNFAIR_REFUSED_SHARE, _chance(own, others)):
-        marks.append(MORE)
+    extra_wait = own.mean_wait_seconds - others.mean_wait_seconds
+    has_enough_waits = min(own.waited, others.waited) >= MIN_FLOWS
+    if has_enough_waits and extra_wait > UNFAIR_WAIT_SHARE * aim_seconds:
+        marks.append(WAITS_LONGER)
+    extra_share = own.refused_share - others.refused_share
+    has_enough_decided = min(own.decided, others.decided) >= MIN_FLOWS
+    if has_enough_decided and extra_share > max(
+        UNFAIR_REFUSED_SHARE, _chance_margin(own, others)
+    ):
+        marks.append(REFUSED_MORE)
     return tuple(marks)
 
 
-def _chance(own: _Lately, others: _Lately) -> float:
-    """Return by how much two shares differ by chance alone, at the most."""
+def _chance_margin(own: _RecentCounts, others: _RecentCounts) -> float:
+    """Return the difference of two rejected shares that chance may explain."""
     share = (own.refused + others.refused) / (own.decided + others.decided)
     variance = share * (1 - share) * (1 / own.decided + 1 / others.decided)
     return CHANCE_ERRORS * math.sqrt(variance)
 
 
-def _added(counts: Iterable[dict[str, int]]) -> dict[str, int]:
+def _sum_counts(counts: Iterable[dict[str, int]]) -> dict[str, int]:
     total: Counter[str] = Counter()
     for each in counts:
         total.update(each)
     return dict(total.most_common())
 
 
-def _line(waits: ClassWaits) -> str:
+def _format_line(waits: ClassWaits) -> str:
     expected = waits.expected_seconds
     parts = [
         f"{waits.in_time} wait in time and {waits.late} late, "
@@ -179,9 +205,9 @@
         f"so far {waits.asked} asked, {waits.served_late} served late",
     ]
     if waits.refused_by_reason:
-        parts.append(f"refused: {_listed(waits.refused_by_reason)}")
+        parts.append(f"refused: {_format_counts(waits.refused_by_reason)}")
     if waits.served_by_data_centre:
-        parts.append(f"served in: {_listed(waits.served_by_data_centre)}")
+        parts.append(f"served in: {_format_counts(waits.served_by_data_centre)}")
     parts += [mark.upper() for mark in waits.marks]
     return (
         f"callers of {waits.service} (priority {waits.priority}) in "
@@ -189,5 +215,5 @@
     )
 
 
-def _listed(counts: dict[str, int]) -> str:
+def _format_counts(counts: dict[str, int]) -> str:
     return ", ".join(f"{name} {count}" for name, count in counts.items())
--- a/monsoonpier/operator/change.py
+++ b/monsoonpier/operator/change.py
@@ -1,7 +1,8 @@
-"""Changing the configuration: compare-and-swap, and what became of it.
+"""Changes of the stored configuration by compare-and-swap.
 
-The stored value and its audit entry are written in one transaction, and both
-carry the apply id.
+The configuration and its audit entry are written in one transaction. Both
+contain the apply id, which identifies the change if the response to the write
+is lost.
 """
 
 import random
@@ -13,13 +14,13 @@
 from monsoonpier.documents.stored import Stored, decode_stored, encode_stored
 from monsoonpier.model.revision import NO_REVISION, Revision
 from monsoonpier.model.service import Service
-from monsoonpier.operator.write import (
+from monsoonpier.operator.conditional_write import (
     RESOLVE_SECONDS,
-    Proof,
-    Refused,
-    Undecided,
+    PreconditionFailed,
+    Unresolved,
+    WriteIdentity,
     Written,
-    write,
+    write_if_unchanged,
 )
 from monsoonpier.store.interface import Compare, Put, Store, StoreError
 from monsoonpier.store.keys import AUDIT, CONFIGURATION, audit_key
@@ -39,20 +40,28 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Base:
-    """The configuration as it was read, and the revision to compare with."""
+    """The configuration that a change is based on, with its store revision."""
 
     stored: Stored
     mod_revision: Revision = NO_REVISION
 
     @property
     def version(self) -> int:
-        """The version in the platform; 0 if there is none."""
+        """The version of the configuration; 0 if none is stored."""
         return self.stored.version
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Change:
-    """A set of files that an operator wants in force."""
+    """An operator's request to replace the configuration by a set of files.
+
+    Attributes:
+        apply_id: Unique identifier of the change.
+        who: Name of the operator.
+        at: Time of the request, in ISO 8601.
+        texts_by_name: Contents of the files, by file name.
+        note: Kind of change, as the audit trail shows it.
+    """
 
     apply_id: str
     who: str
@@ -62,7 +71,7 @@
 
 
 class AuditEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One line of the audit trail, with the files as they were then."""
+    """An entry of the audit trail, with the files of that version."""
 
     version: int
     previous: int
@@ -77,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Accepted:
-    """The change is stored as that version."""
+    """Outcome of a change that was stored under ``version``."""
 
     version: int
     difference: tuple[str, ...]
@@ -85,14 +94,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Conflict:
-    """Another change came first; this one has changed nothing."""
+    """Outcome of a change that another preceded; nothing was stored."""
 
     by: Base
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Unknown:
-    """The platform could not be asked whether the write took effect."""
+    """Outcome of a change that the store could not confirm or rule out."""
 
     reason: str
     apply_id: str
@@ -107,13 +116,19 @@
     draw: random.Random,
     resolve_seconds: float = RESOLVE_SECONDS,
 ) -> Accepted | Conflict | Unknown:
-    """Store a change on top of ``base``, the configuration as it was read.
-
-    The version is above any that a balancer has in force: a platform that was
-    restored from a backup must not bring a number into use a second time.
-
-    Raises:
-        StoreError: If the platform was unreachable before anything was sent.
+    """Store a configuration if the stored one is still ``base``.
+
+    The new version is greater than any version in force on a balancer, so that
+    no version number is reused after the store was restored from a backup.
+
+    Args:
+        platform: The store.
+        wanted: The change; its files must be free of errors.
+        base: The configuration that the change replaces.
+        newest_in_force: The newest version in force on any balancer; 0 if
+            unknown.
+        draw: Source of random numbers for the delays between attempts.
+        resolve_seconds: How long to retry while the store fails.
     """
     version = max(base.version, newest_in_force) + 1
     services = parse_files(wanted.texts_by_name).services_by_name
@@ -132,42 +147,50 @@
         difference=lines,
         files=wanted.texts_by_name,
     )
-    proof = Proof(
+    identity = WriteIdentity(
         key=audit_key(version),
         is_own=lambda value: _decode_entry(value).apply_id == wanted.apply_id,
     )
-    outcome = await write(
+    outcome = await write_if_unchanged(
         platform,
         compares=compares,
         puts=_puts(entry, services),
-        proof=proof,
+        identity=identity,
         draw=draw,
         resolve_seconds=resolve_seconds,
     )
     match outcome:
         case Written():
             return Accepted(version=version, difference=lines)
-        case Refused():
+        case PreconditionFailed():
             try:
                 return Conflict(by=await read_stored(platform))
             except StoreError as error:
                 return Unknown(reason=str(error), apply_id=wanted.apply_id)
-        case Undecided(reason=reason):
+        case Unresolved(reason=reason):
             return Unknown(reason=reason, apply_id=wanted.apply_id)
 
 
 async def read_stored(platform: Store) -> Base:
-    """Return the configuration that the platform holds."""
+    """Return the stored configuration, or an empty one of version 0.
+
+    Raises:
+        StoreError: If the platform can't be reached.
+    """
     found = await platform.read(CONFIGURATION)
     value = found.values_by_key.get(CONFIGURATION)
     if value is None:
-        nothing = Stored(version=0, apply_id="", who="", at="", files={}, services={})
-        return Base(stored=nothing)
+        empty = Stored(version=0, apply_id="", who="", at="", files={}, services={})
+        return Base(stored=empty)
     return Base(stored=decode_stored(value.value), mod_revision=value.mod_revision)
 
 
 async def read_audit(platform: Store, *, version: int = 0) -> list[AuditEntry]:
-    """Return the audit trail, the oldest first, or one version's entry."""
+    """Return the audit trail, oldest first, or only one version's entry.
+
+    Raises:
+        StoreError: If the platform can't be reached.
+    """
     if version:
         found = await platform.read(audit_key(version))
     else:
--- a/monsoonpier/operator/commands.py
+++ b/monsoonpier/operator/commands.py
@@ -1,4 +1,7 @@
-"""The operators' commands: what they print and their exit statuses."""
+"""The operators' commands: they print their results and return exit statuses.
+
+The commands on evacuations are in `evacuation_commands`.
+"""
 
 import getpass
 import json
@@ -20,7 +23,7 @@
 )
 from monsoonpier.exits import Exit
 from monsoonpier.model.findings import report
-from monsoonpier.operator.caller_waits import caller_waits, waiting_lines
+from monsoonpier.operator.caller_waits import caller_lines, summarise_callers
 from monsoonpier.operator.change import (
     Accepted,
     Change,
@@ -30,12 +33,12 @@
     read_audit,
     read_stored,
 )
-from monsoonpier.operator.evacuate import read_entries, read_orders
 from monsoonpier.operator.evacuation_commands import entry_line, evacuation_lines
+from monsoonpier.operator.evacuation_orders import read_evacuation_audit, read_orders
 from monsoonpier.operator.reports import newest_targets, report_unreachable
+from monsoonpier.operator.rollout import wait_in_force
 from monsoonpier.operator.session import OperatorSession
-from monsoonpier.operator.slot_use import slot_lines, slot_uses
-from monsoonpier.operator.waiting import wait_in_force
+from monsoonpier.operator.slot_use import measure_slot_use, slot_lines
 from monsoonpier.process.control import NoAnswer
 from monsoonpier.store.interface import StoreError
 from monsoonpier.wire.control import StatusReply
@@ -44,17 +47,17 @@
     "apply_files",
     "check_files",
     "drain_process",
-    "plain",
     "roll_back",
     "show_difference",
     "show_history",
     "show_status",
+    "to_json_types",
 ]
 
 
 def check_files(paths: Iterable[Path]) -> int:
-    """Report all findings; print the services if there are none."""
-    _, parsed = _read(paths)
+    """Print all errors in the files or, if there are none, their services."""
+    _, parsed = _read_and_parse(paths)
     if parsed is None:
         return Exit.BAD_INPUT
     for line in difference({}, parsed.services_by_name):
@@ -65,11 +68,11 @@
 async def apply_files(
     session: OperatorSession, paths: Iterable[Path], *, who: str, wait_seconds: float
 ) -> int:
-    """Apply a set of files; print the difference it made."""
-    texts_by_name, parsed = _read(paths)
+    """Replace the configuration by a set of files and print the difference."""
+    texts_by_name, parsed = _read_and_parse(paths)
     if parsed is None:
         return Exit.BAD_INPUT
-    return await _change(
+    return await _apply_change(
         session, texts_by_name, who=who, note="apply", wait_seconds=wait_seconds
     )
 
@@ -86,7 +89,7 @@
         print(f"there is no version {version} in the audit trail", file=sys.stderr)
         return Exit.BAD_INPUT
     texts_by_name = entries[0].files
-    return await _change(
+    return await _apply_change(
         session,
         texts_by_name,
         who=who,
@@ -97,7 +100,7 @@
 
 async def show_difference(session: OperatorSession, paths: Iterable[Path]) -> int:
     """Print what applying the files would change."""
-    _, parsed = _read(paths)
+    _, parsed = _read_and_parse(paths)
     if parsed is None:
         return Exit.BAD_INPUT
     try:
@@ -111,10 +114,10 @@
 
 
 async def show_history(session: OperatorSession, *, count: int) -> int:
-    """Print the audit trail, the newest change first."""
+    """Print the newest evacuations and changes, the newest first."""
     try:
         entries = await read_audit(session.platform)
-        evacuations = await read_entries(session.platform)
+        evacuations = await read_evacuation_audit(session.platform)
     except StoreError as error:
         return report_unreachable(error)
     for evacuation in evacuations[::-1][:count]:
@@ -134,22 +137,28 @@
 async def show_status(
     session: OperatorSession, *, as_json: bool, with_slots: bool = False
 ) -> int:
-    """Print balancers, targets, how callers fare, and the versions in force."""
+    """Print the balancers, targets, callers' waits and versions in force.
+
+    Args:
+        session: Connections to the store and the processes.
+        as_json: Whether to print one JSON object instead of lines of text.
+        with_slots: Whether to measure the use of the targets' slots as well.
+    """
     try:
         stored = (await read_stored(session.platform)).stored
         orders = await read_orders(session.platform)
         statuses = await session.statuses(await session.balancers())
     except StoreError as error:
         return report_unreachable(error)
-    waits = caller_waits(statuses.values())
-    slots = await slot_uses(session, statuses.values()) if with_slots else ()
+    waits = summarise_callers(statuses.values())
+    slots = await measure_slot_use(session, statuses.values()) if with_slots else ()
     if as_json:
         content = {
             "accepted": stored.version,
             "evacuated": sorted(orders),
             "callers": [asdict(each) for each in waits],
             "slots": [asdict(each) for each in slots],
-            "balancers": plain(statuses),
+            "balancers": to_json_types(statuses),
         }
         print(json.dumps(content))
         return Exit.OK
@@ -160,13 +169,13 @@
         print(line)
     for line in _target_lines(statuses.values()):
         print(line)
-    for line in waiting_lines(waits) + slot_lines(slots):
+    for line in caller_lines(waits) + slot_lines(slots):
         print(line)
     return Exit.OK
 
 
 async def drain_process(session: OperatorSession, name: str) -> int:
-    """Ask a balancer or a target's agent, by name, to leave gracefully."""
+    """Request that the balancer or agent of that name drain and shut down."""
     try:
         balancers = await session.balancers()
         statuses = await session.statuses(balancers)
@@ -192,8 +201,8 @@
     return Exit.OK
 
 
-def _read(paths: Iterable[Path]) -> tuple[dict[str, str], ParsedFiles | None]:
-    """Read and check files; print all findings if there are any."""
+def _read_and_parse(paths: Iterable[Path]) -> tuple[dict[str, str], ParsedFiles | None]:
+    """Read and parse files; print any errors and return ``None`` for them."""
     texts_by_name, findings = read_files(paths)
     parsed = parse_files(texts_by_name) if texts_by_name else ParsedFiles()
     findings = (*findings, *parsed.findings)
@@ -203,7 +212,7 @@
     return texts_by_name, parsed
 
 
-async def _change(
+async def _apply_change(
     session: OperatorSession,
     texts_by_name: dict[str, str],
     *,
@@ -211,6 +220,7 @@
     note: str,
     wait_seconds: float,
 ) -> int:
+    """Store a configuration, print the outcome and wait if asked to."""
     wanted = Change(
         apply_id=uuid.uuid4().hex,
         who=who or getpass.getuser(),
@@ -244,7 +254,7 @@
             print(
                 f"conflict: {by.stored.who} applied version {by.version} at "
                 f"{by.stored.at}; nothing "
-                "of yours was applied. Look at `diff`, then apply again.",
+                "of yours was applied. Run `diff`, then apply again.",
                 file=sys.stderr,
             )
             return Exit.CONFLICT
@@ -257,15 +267,21 @@
             return Exit.UNKNOWN
 
 
-def plain(value):
-    """Return wire messages as JSON's types, with names where the wire has none."""
+def to_json_types(value):
+    """Convert wire messages to the types of JSON.
+
+    Structs become objects with their field names, bytes become hexadecimal
+    digits, and enum members become their names in lower case.
+    """
     match value:
         case msgspec.Struct():
-            return {k: plain(v) for k, v in msgspec.structs.asdict(value).items()}
+            return {
+                k: to_json_types(v) for k, v in msgspec.structs.asdict(value).items()
+            }
         case dict():
-            return {key: plain(item) for key, item in value.items()}
+            return {key: to_json_types(item) for key, item in value.items()}
         case tuple():
-            return [plain(item) for item in value]
+            return [to_json_types(item) for item in value]
         case bytes():
             return value.hex()
         case Enum():
@@ -284,7 +300,7 @@
 
 
 def _target_lines(statuses: Iterable[StatusReply | None]) -> list[str]:
-    """Describe each target by the newest report that any balancer has."""
+    """Return a line for each target from the newest report about it."""
     return [
         f"target {name} ({target.record.service}, {target.record.data_centre}): "
         f"{target.load.condition.name.lower()}"
--- a/monsoonpier/operator/evacuation_commands.py
+++ b/monsoonpier/operator/evacuation_commands.py
@@ -1,4 +1,4 @@
-"""The commands ``evacuate`` and ``readmit``, and what ``status`` tells of them."""
+"""The commands ``evacuate`` and ``readmit``, and lines about evacuations."""
 
 import getpass
 import sys
@@ -7,19 +7,23 @@
 from datetime import UTC, datetime
 
 from monsoonpier.exits import Exit
-from monsoonpier.operator.evacuate import (
+from monsoonpier.operator.conditional_write import (
+    PreconditionFailed,
+    Unresolved,
+    Written,
+)
+from monsoonpier.operator.evacuation_orders import (
     EvacuationEntry,
-    Order,
+    EvacuationOrder,
     StoredOrder,
     find_obstacles,
-    place_order,
     read_orders,
-    take_back,
+    remove_order,
+    store_order,
 )
 from monsoonpier.operator.reports import newest_targets, report_unreachable
+from monsoonpier.operator.rollout import wait_in_force
 from monsoonpier.operator.session import OperatorSession
-from monsoonpier.operator.waiting import wait_in_force
-from monsoonpier.operator.write import Refused, Undecided, Written
 from monsoonpier.store.interface import StoreError
 from monsoonpier.wire.control import StatusReply, TargetStatus
 
@@ -39,30 +43,46 @@
     force: bool,
     wait_seconds: float,
 ) -> int:
-    """Let no new flow go to a data centre, unless that leaves a service without."""
+    """Order the balancers to send no new flows to a data centre.
+
+    Args:
+        session: Connections to the store and the processes.
+        data_centre: Name of the data centre.
+        who: Name of the operator for the audit trail; if empty, the login
+            name.
+        force: Whether to evacuate although a service would have no targets
+            left.
+        wait_seconds: How long to wait until every balancer obeys; 0 to not
+            wait.
+
+    Returns:
+        The exit status.
+    """
     try:
         orders = await read_orders(session.platform)
         statuses = await session.statuses(await session.balancers())
     except StoreError as error:
         return report_unreachable(error)
     if data_centre in orders:
-        print(_already(orders[data_centre]), file=sys.stderr)
+        print(_already_evacuated(orders[data_centre]), file=sys.stderr)
         return Exit.CONFLICT
     targets = [t for status in statuses.values() if status for t in status.targets]
     obstacles = find_obstacles(data_centre, targets, evacuated=orders)
     if obstacles and not force:
         print("\n".join(obstacles), file=sys.stderr)
-        print("nothing was changed; --force does it all the same", file=sys.stderr)
+        print("nothing was changed; use --force to evacuate it anyway", file=sys.stderr)
         return Exit.BAD_INPUT
-    order = _order(data_centre, who=who)
-    outcome = await place_order(session.platform, order, draw=session.draw)
-    return await _tell(session, order, outcome, is_active=True, seconds=wait_seconds)
+    order = _new_order(data_centre, who=who)
+    outcome = await store_order(session.platform, order, draw=session.draw)
+    return await _report_outcome(
+        session, order, outcome, is_active=True, seconds=wait_seconds
+    )
 
 
 async def readmit(
     session: OperatorSession, data_centre: str, *, who: str, wait_seconds: float
 ) -> int:
-    """Let new flows go to a data centre again."""
+    """Order the balancers to send new flows to a data centre again."""
     try:
         orders = await read_orders(session.platform)
     except StoreError as error:
@@ -71,17 +91,19 @@
         known = ", ".join(sorted(orders)) or "none"
         print(f"{data_centre} isn't evacuated; evacuated: {known}", file=sys.stderr)
         return Exit.BAD_INPUT
-    order = _order(data_centre, who=who)
-    outcome = await take_back(
-        session.platform, order, held=orders[data_centre], draw=session.draw
+    order = _new_order(data_centre, who=who)
+    outcome = await remove_order(
+        session.platform, order, stored=orders[data_centre], draw=session.draw
+    )
+    return await _report_outcome(
+        session, order, outcome, is_active=False, seconds=wait_seconds
     )
-    return await _tell(session, order, outcome, is_active=False, seconds=wait_seconds)
 
 
 def evacuation_lines(
     orders: dict[str, StoredOrder], statuses: Iterable[StatusReply | None]
 ) -> list[str]:
-    """Describe each evacuated data centre, with the flows that are still open."""
+    """Return a line for each evacuated data centre, with its open flows."""
     targets = newest_targets(statuses).values()
     return [
         f"data centre {name}: evacuated since {stored.entry.at} by "
@@ -92,7 +114,7 @@
 
 
 def entry_line(entry: EvacuationEntry) -> str:
-    """Return an entry of the audit trail as ``history`` shows it."""
+    """Return the line of ``history`` for an entry of the audit trail."""
     return f"{entry.at} by {entry.who}: {entry.note} {entry.data_centre}"
 
 
@@ -100,8 +122,8 @@
     return sum(t.load.flows for t in targets if t.record.data_centre == data_centre)
 
 
-def _order(data_centre: str, *, who: str) -> Order:
-    return Order(
+def _new_order(data_centre: str, *, who: str) -> EvacuationOrder:
+    return EvacuationOrder(
         data_centre=data_centre,
         order_id=uuid.uuid4().hex,
         who=who or getpass.getuser(),
@@ -109,19 +131,20 @@
     )
 
 
-def _already(held: StoredOrder) -> str:
-    entry = held.entry
-    return f"{entry.data_centre} is evacuated since {entry.at} by {entry.who}"
+def _already_evacuated(stored: StoredOrder) -> str:
+    entry = stored.entry
+    return f"{entry.data_centre} has been evacuated since {entry.at} by {entry.who}"
 
 
-async def _tell(
+async def _report_outcome(
     session: OperatorSession,
-    order: Order,
-    outcome: Written | Refused | Undecided,
+    order: EvacuationOrder,
+    outcome: Written | PreconditionFailed | Unresolved,
     *,
     is_active: bool,
     seconds: float,
 ) -> int:
+    """Print the outcome of an order; wait until it is in force if asked to."""
     what = "evacuated" if is_active else "readmitted"
     match outcome:
         case Written():
@@ -133,14 +156,14 @@
                     seconds=seconds,
                 )
             return Exit.OK
-        case Refused():
+        case PreconditionFailed():
             print(
                 f"conflict: another order on {order.data_centre} came first; nothing "
-                "of yours was done. Look at `status`.",
+                "was changed. Run `status`.",
                 file=sys.stderr,
             )
             return Exit.CONFLICT
-        case Undecided(reason=reason):
+        case Unresolved(reason=reason):
             print(
                 f"unknown: the platform can't tell whether it was accepted ({reason}). "
                 f"Look for {order.data_centre} in `status` when it is back.",
--- a/monsoonpier/operator/evacuate.py
+++ b/monsoonpier/operator/evacuation_orders.py
@@ -1,4 +1,4 @@
-"""Orders to evacuate a data centre: written and taken back with an audit trail."""
+"""Orders to evacuate data centres, in the store with an audit trail."""
 
 import random
 from collections.abc import Iterable
@@ -8,26 +8,39 @@
 
 from monsoonpier.model.revision import Revision
 from monsoonpier.model.target import Condition
-from monsoonpier.operator.write import Proof, Refused, Undecided, Written, write
+from monsoonpier.operator.conditional_write import (
+    PreconditionFailed,
+    Unresolved,
+    WriteIdentity,
+    Written,
+    write_if_unchanged,
+)
 from monsoonpier.store.interface import Compare, KeyValue, Put, Store
 from monsoonpier.store.keys import EVACUATION_AUDIT, EVACUATIONS
 from monsoonpier.wire.control import TargetStatus
 
 __all__ = [
     "EvacuationEntry",
-    "Order",
+    "EvacuationOrder",
     "StoredOrder",
     "find_obstacles",
-    "place_order",
-    "read_entries",
+    "read_evacuation_audit",
     "read_orders",
-    "take_back",
+    "remove_order",
+    "store_order",
 ]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Order:
-    """What an operator wants of a data centre."""
+class EvacuationOrder:
+    """An operator's order to evacuate or readmit a data centre.
+
+    Attributes:
+        data_centre: Name of the data centre.
+        order_id: Unique identifier of the order.
+        who: Name of the operator.
+        at: Time of the order, in ISO 8601.
+    """
 
     data_centre: str
     order_id: str
@@ -36,7 +49,7 @@
 
 
 class EvacuationEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """An order as it is stored, and its line of the audit trail."""
+    """An order as it is stored, both in force and in the audit trail."""
 
     data_centre: str
     order_id: str
@@ -47,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoredOrder:
-    """An order that is in the store, with the revision that wrote it."""
+    """An evacuation in force, with the store revision that wrote it."""
 
     entry: EvacuationEntry
     revision: Revision
@@ -57,52 +70,59 @@
 _encode = msgspec.json.Encoder().encode
 
 
-async def place_order(
-    platform: Store, order: Order, *, draw: random.Random
-) -> Written | Refused | Undecided:
-    """Order an evacuation; refused if the data centre is evacuated already."""
+async def store_order(
+    platform: Store, order: EvacuationOrder, *, draw: random.Random
+) -> Written | PreconditionFailed | Unresolved:
+    """Store an order to evacuate a data centre unless it has one already."""
     entry = _entry(order, note="evacuate")
     key = EVACUATIONS + order.data_centre
-    return await write(
+    return await write_if_unchanged(
         platform,
         compares=(Compare(key=key),),
         puts=(Put(key=key, value=_encode(entry)), _audit_put(entry)),
-        proof=_proof(entry),
+        identity=_identity(entry),
         draw=draw,
     )
 
 
-async def take_back(
-    platform: Store, order: Order, *, held: StoredOrder, draw: random.Random
-) -> Written | Refused | Undecided:
-    """Take an evacuation back; refused if another order came since ``held``."""
+async def remove_order(
+    platform: Store, order: EvacuationOrder, *, stored: StoredOrder, draw: random.Random
+) -> Written | PreconditionFailed | Unresolved:
+    """Delete an evacuation order if it is unchanged since it was read.
+
+    Args:
+        platform: The store.
+        order: The order to readmit the data centre, for the audit trail.
+        stored: The evacuation order as it was read.
+        draw: Source of random numbers for the delays between attempts.
+    """
     entry = _entry(order, note="readmit")
     key = EVACUATIONS + order.data_centre
-    return await write(
+    return await write_if_unchanged(
         platform,
-        compares=(Compare(key=key, mod_revision=held.revision),),
+        compares=(Compare(key=key, mod_revision=stored.revision),),
         puts=(_audit_put(entry),),
         removes=(key,),
-        proof=_proof(entry),
+        identity=_identity(entry),
         draw=draw,
     )
 
 
 async def read_orders(platform: Store) -> dict[str, StoredOrder]:
-    """Return the orders in force, by data centre.
+    """Return the evacuations in force, by data centre.
 
     Raises:
         StoreError: If the platform can't be reached.
     """
     found = await platform.read(EVACUATIONS, prefix=True)
     return {
-        key.removeprefix(EVACUATIONS): _stored(key, value)
+        key.removeprefix(EVACUATIONS): _decode_order(key, value)
         for key, value in found.values_by_key.items()
     }
 
 
-async def read_entries(platform: Store) -> list[EvacuationEntry]:
-    """Return the audit trail of evacuations, the oldest first.
+async def read_evacuation_audit(platform: Store) -> list[EvacuationEntry]:
+    """Return the audit trail of evacuations, oldest entry first.
 
     Raises:
         StoreError: If the platform can't be reached.
@@ -115,22 +135,22 @@
 def find_obstacles(
     data_centre: str, targets: Iterable[TargetStatus], *, evacuated: Iterable[str]
 ) -> list[str]:
-    """Return what speaks against evacuating a data centre, if anything.
+    """Return the reasons not to evacuate a data centre, as texts.
 
     Args:
-        data_centre: Its name.
-        targets: All targets that balancers know.
+        data_centre: Name of the data centre.
+        targets: All targets that the balancers report.
         evacuated: Data centres that are evacuated already.
     """
     serving = [t for t in targets if t.record.condition < Condition.LEAVING]
-    places = {t.record.data_centre for t in serving}
-    if data_centre not in places:
-        known = ", ".join(sorted(places)) or "none"
+    data_centres = {t.record.data_centre for t in serving}
+    if data_centre not in data_centres:
+        known = ", ".join(sorted(data_centres)) or "none"
         return [f"no target is in data centre {data_centre!r}; known: {known}"]
-    closed = {data_centre, *evacuated}
+    unavailable = {data_centre, *evacuated}
     here = {t.record.service for t in serving if t.record.data_centre == data_centre}
     elsewhere = {
-        t.record.service for t in serving if t.record.data_centre not in closed
+        t.record.service for t in serving if t.record.data_centre not in unavailable
     }
     return [
         f"{data_centre} is the last data centre that serves {service!r}"
@@ -138,7 +158,7 @@
     ]
 
 
-def _entry(order: Order, *, note: str) -> EvacuationEntry:
+def _entry(order: EvacuationOrder, *, note: str) -> EvacuationEntry:
     return EvacuationEntry(
         data_centre=order.data_centre,
         order_id=order.order_id,
@@ -156,12 +176,13 @@
     return Put(key=_audit_key(entry), value=_encode(entry))
 
 
-def _proof(entry: EvacuationEntry) -> Proof:
-    return Proof(key=_audit_key(entry), is_own=lambda value: True)
+def _identity(entry: EvacuationEntry) -> WriteIdentity:
+    # The key contains the order's identifier, so only this order writes to it.
+    return WriteIdentity(key=_audit_key(entry), is_own=lambda value: True)
 
 
-def _stored(key: str, value: KeyValue) -> StoredOrder:
-    """Return an order, also one that somebody wrote by hand."""
+def _decode_order(key: str, value: KeyValue) -> StoredOrder:
+    """Decode a stored order; a malformed value is an order by ``unknown``."""
     try:
         entry = _decode(value.value)
     except (msgspec.MsgspecError, UnicodeDecodeError):
--- a/monsoonpier/operator/explain.py
+++ b/monsoonpier/operator/explain.py
@@ -1,4 +1,4 @@
-"""Joins the logs of several processes into the story of one flow."""
+"""Selects the log lines of several processes that concern one flow."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -6,16 +6,25 @@
 from datetime import datetime
 from pathlib import Path
 
-__all__ = ["Line", "explain", "read_lines", "render"]
+__all__ = ["LogLine", "explain", "format_lines", "read_lines"]
 
-BELIEF_SECONDS = 5.0  # beliefs about the flow's targets that are this close to it
-_SHOWN_APART = ("timestamp", "process", "role", "event", "level", "flow")
+CONTEXT_SECONDS = 5.0  # before the flow's first line and after its last
+_NOT_IN_FIELDS = ("timestamp", "process", "role", "event", "level", "flow")
 _PROCESS_FIELDS = ("target", "agent", "name")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True, order=True)
-class Line:
-    """One log line; ``at`` is its writer's wall clock in seconds."""
+class LogLine:
+    """A parsed log line.
+
+    Attributes:
+        at: Time by the wall clock of the process that logged it, in Unix
+            seconds.
+        process: Name of the process that logged it.
+        event: The event's text.
+        flow: Name of the flow that the line is about; empty if there is none.
+        fields: All other fields of the line.
+    """
 
     at: float
     process: str
@@ -25,13 +34,13 @@
 
     @property
     def processes(self) -> set[str]:
-        """The processes that the line is by or about."""
+        """Names of the processes that logged the line or are named in it."""
         named = {str(self.fields[key]) for key in _PROCESS_FIELDS if key in self.fields}
         return named | {self.process}
 
 
-def read_lines(files: Iterable[Path]) -> Iterator[Line]:
-    """Yield the JSON lines of log files; other text is passed over.
+def read_lines(files: Iterable[Path]) -> Iterator[LogLine]:
+    """Yield the JSON lines of log files; other lines are skipped.
 
     A prefix before the JSON, such as a collector's time and host, is allowed.
 
@@ -46,62 +55,65 @@
                     yield line
 
 
-def explain(lines: Iterable[Line], *, flow: str) -> list[Line]:
-    """Return the lines of the flows that contain ``flow``, and near beliefs.
+def explain(lines: Iterable[LogLine], *, flow: str) -> list[LogLine]:
+    """Return the log lines about a flow and their context, by time.
+
+    The context consists of lines about no flow that were logged near these
+    lines and that are by or about a process involved in the flow.
 
     Args:
         lines: All lines, in any order.
-        flow: A flow's name, or its caller's ``ip:port`` alone.
+        flow: A flow's name or a part of it, such as its caller's ``ip:port``.
 
     Returns:
-        The lines by time. Beliefs are lines without a flow that are by or about
-        a process which took part.
+        The lines; empty if no line is about the flow.
     """
-    kept = list(lines)
-    story = [line for line in kept if flow in line.flow]
-    if not story:
+    all_lines = list(lines)
+    flow_lines = [line for line in all_lines if flow in line.flow]
+    if not flow_lines:
         return []
-    first = min(line.at for line in story) - BELIEF_SECONDS
-    last = max(line.at for line in story) + BELIEF_SECONDS
-    involved = {process for line in story for process in line.processes}
-    beliefs = [
+    first = min(line.at for line in flow_lines) - CONTEXT_SECONDS
+    last = max(line.at for line in flow_lines) + CONTEXT_SECONDS
+    involved = {process for line in flow_lines for process in line.processes}
+    context = [
         line
-        for line in kept
+        for line in all_lines
         if not line.flow and first <= line.at <= last and line.processes & involved
     ]
-    return sorted(story + beliefs)
+    return sorted(flow_lines + context)
 
 
-def render(lines: list[Line]) -> str:
-    """Return lines as text, with times relative to the first of them."""
+def format_lines(lines: list[LogLine]) -> str:
+    """Return lines as text, with times in seconds since the first of them."""
     if not lines:
         return ""
-    began = lines[0].at
-    return "\n".join(_render_line(line, began=began) for line in lines)
+    start = lines[0].at
+    return "\n".join(_format_line(line, start=start) for line in lines)
 
 
-def _render_line(line: Line, *, began: float) -> str:
+def _format_line(line: LogLine, *, start: float) -> str:
     fields = " ".join(f"{key}={value}" for key, value in sorted(line.fields.items()))
     mark = ">" if line.flow else " "
-    return f"{line.at - began:+9.3f} {mark} {line.process:24} {line.event}  {fields}"
+    return f"{line.at - start:+9.3f} {mark} {line.process:24} {line.event}  {fields}"
 
 
-def _parse(text: str) -> Line | None:
+def _parse(text: str) -> LogLine | None:
+    """Parse a log line; return ``None`` if it is not a JSON log line."""
     start = text.find("{")
     if start < 0:
         return None
     try:
         content = json.loads(text[start:])
-        return Line(
-            at=_seconds(content["timestamp"]),
+        return LogLine(
+            at=_unix_seconds(content["timestamp"]),
             process=str(content.get("process", "?")),
             event=str(content["event"]),
             flow=str(content.get("flow", "")),
-            fields={k: v for k, v in content.items() if k not in _SHOWN_APART},
+            fields={k: v for k, v in content.items() if k not in _NOT_IN_FIELDS},
         )
     except (ValueError, KeyError, TypeError):
         return None
 
 
-def _seconds(timestamp: str) -> float:
+def _unix_seconds(timestamp: str) -> float:
     return datetime.fromisoformat(timestamp).timestamp()
--- a/monsoonpier/operator/reports.py
+++ b/monsoonpier/operator/reports.py
@@ -1,4 +1,4 @@
-"""What several commands tell operators in the same words."""
+"""Parts of the output that several commands share."""
 
 import sys
 from collections.abc import Iterable
@@ -13,17 +13,17 @@
 def newest_targets(
     statuses: Iterable[StatusReply | None],
 ) -> dict[str, TargetStatus]:
-    """Return each target by name, with the newest report that any balancer has."""
+    """Return the newest report about each target, by the target's name."""
     newest_by_name: dict[str, TargetStatus] = {}
     for status in statuses:
         for target in status.targets if status else ():
-            held = newest_by_name.get(target.record.name)
-            if held is None or target.load.number > held.load.number:
+            current = newest_by_name.get(target.record.name)
+            if current is None or target.load.number > current.load.number:
                 newest_by_name[target.record.name] = target
     return newest_by_name
 
 
 def report_unreachable(error: StoreError) -> int:
-    """Say that the platform can't be reached; return the exit status."""
+    """Print that the platform can't be reached, and return the exit status."""
     print(f"the platform can't be reached: {error}", file=sys.stderr)
     return Exit.UNAVAILABLE
--- a/monsoonpier/operator/waiting.py
+++ b/monsoonpier/operator/rollout.py
@@ -1,4 +1,4 @@
-"""Waiting until every balancer obeys an order."""
+"""Waits until a change is in force on every balancer."""
 
 import asyncio
 import sys
@@ -13,20 +13,27 @@
 
 __all__ = ["wait_in_force"]
 
-ASK_AGAIN_SECONDS = 0.1
+POLL_SECONDS = 0.1
 
 
 async def wait_in_force(
-    session: OperatorSession, obeys: Callable[[StatusReply], bool], *, seconds: float
+    session: OperatorSession,
+    is_in_force: Callable[[StatusReply], bool],
+    *,
+    seconds: float,
 ) -> int:
-    """Wait until every balancer obeys; name those that lag.
+    """Wait until a change is in force on every balancer, and print the result.
 
     Args:
-        session: Asks the balancers.
-        obeys: Tells by a balancer's status whether it does.
-        seconds: How long to wait at the most.
+        session: Requests the balancers' statuses.
+        is_in_force: Returns whether the change is in force, by a balancer's
+            status.
+        seconds: The longest time to wait.
+
+    Returns:
+        The exit status.
     """
-    began = time.monotonic()
+    start = time.monotonic()
     while True:
         try:
             statuses = await session.statuses(await session.balancers())
@@ -35,18 +42,18 @@
         lagging = sorted(
             name
             for name, status in statuses.items()
-            if status is None or not obeys(status)
+            if status is None or not is_in_force(status)
         )
-        elapsed = time.monotonic() - began
+        elapsed = time.monotonic() - start
         if not lagging:
             print(f"in force on {len(statuses)} balancers after {elapsed:.2f} s")
             return Exit.OK
         if elapsed >= seconds:
-            in_force = len(statuses) - len(lagging)
+            updated = len(statuses) - len(lagging)
             print(
-                f"in force on {in_force} of {len(statuses)} balancers; "
+                f"in force on {updated} of {len(statuses)} balancers; "
                 f"lagging: {', '.join(lagging)}",
                 file=sys.stderr,
             )
             return Exit.LAGGING
-        await asyncio.sleep(ASK_AGAIN_SECONDS)
+        await asyncio.sleep(POLL_SECONDS)
--- a/monsoonpier/operator/session.py
+++ b/monsoonpier/operator/session.py
@@ -1,4 +1,4 @@
-"""What an operator's command talks to: the platform, and the processes."""
+"""Connections of an operator's command to the platform and the processes."""
 
 import asyncio
 import random
@@ -13,11 +13,19 @@
 
 __all__ = ["OperatorSession"]
 
-STATUS_SECONDS = 1.5
+STATUS_TIMEOUT_SECONDS = 1.5
 
 
 class OperatorSession:
-    """Connections of one command; use as ``async with``."""
+    """Access of one command to the store, balancers and agents.
+
+    An asynchronous context manager; leaving it closes the connection to the
+    store.
+
+    Attributes:
+        draw: Source of random numbers.
+        platform: The store.
+    """
 
     def __init__(self, *, settings: Settings) -> None:
         self._settings = settings
@@ -32,7 +40,7 @@
         await self.platform.close()
 
     async def balancers(self) -> dict[str, BalancerRecord]:
-        """Return the balancers that hold a lease in the platform, by name.
+        """Return the balancers registered in the store, by name.
 
         Raises:
             StoreError: If the platform can't be reached.
@@ -44,38 +52,54 @@
     async def statuses(
         self, balancers: dict[str, BalancerRecord]
     ) -> dict[str, StatusReply | None]:
-        """Ask all balancers at once; ``None`` stands for no answer."""
+        """Request the status of all balancers concurrently.
+
+        Returns:
+            The status of each balancer by name; ``None`` if it does not
+                respond.
+        """
         replies = await asyncio.gather(
             *(self.status(record.control) for record in balancers.values())
         )
         return dict(zip(balancers, replies, strict=True))
 
     async def status(self, control: str) -> StatusReply | None:
-        """Ask one process how it stands."""
+        """Request the status of one process.
+
+        Args:
+            control: The process's control address.
+
+        Returns:
+            The status; ``None`` if the process does not respond.
+        """
         try:
             reply = await ask(
                 control,
                 AskStatus(),
                 keys=self._settings.keys,
-                timeout=STATUS_SECONDS,
+                timeout=STATUS_TIMEOUT_SECONDS,
             )
         except NoAnswer:
             return None
         return reply if isinstance(reply, StatusReply) else None
 
     async def drain(self, control: str, name: str) -> DrainReply:
-        """Ask a process to leave.
+        """Request that a process drain and shut down.
+
+        Args:
+            control: The process's control address.
+            name: The process's name.
 
         Raises:
-            NoAnswer: If it does not answer.
+            NoAnswer: If the process does not respond as expected.
         """
         reply = await ask(control, AskDrain(name=name), keys=self._settings.keys)
         if not isinstance(reply, DrainReply):
-            raise NoAnswer(f"{control} answered something else")
+            raise NoAnswer(f"{control} sent an unexpected response")
         return reply
 
     async def newest_in_force(self) -> int:
-        """Return the newest version that any balancer has in force; 0 if none."""
+        """Return the newest version in force on a balancer; 0 if unknown."""
         try:
             statuses = await self.statuses(await self.balancers())
         except StoreError:
--- a/tests/operator/__init__.py
+++ b/tests/operator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of operator."""
+"""Tests of the operators' commands."""
--- a/tests/operator/test_caller_waits.py
+++ b/tests/operator/test_caller_waits.py
@@ -1,4 +1,4 @@
-"""What ``status`` tells of callers in two data centres that aren't served alike."""
+"""Callers' waits and the use of slots in ``status``, by data centre."""
 
 import contextlib
 import io
@@ -8,26 +8,31 @@
 from monsoonpier.exits import Exit
 from monsoonpier.model.target import LoadReport
 from monsoonpier.model.waiting_summary import LatelySeen, WaitingSummary
-from monsoonpier.operator.caller_waits import LONGER, MORE, caller_waits, waiting_lines
+from monsoonpier.operator.caller_waits import (
+    REFUSED_MORE,
+    WAITS_LONGER,
+    caller_lines,
+    summarise_callers,
+)
 from monsoonpier.operator.commands import show_status
-from monsoonpier.operator.slot_use import added_slots, slot_lines
+from monsoonpier.operator.slot_use import slot_lines, sum_slot_use
 from monsoonpier.wire.control import StatusReply, TargetStatus
 from standins.fake_store import FakeStore
 from tests.rig import record
 
 
 def waiting(*, served: float, wait: float, refused: float = 0.0, **fields):
-    """Return how callers fare that wait ``wait`` seconds in the mean."""
+    """Return a summary of callers whose mean wait is ``wait`` seconds."""
     defaults = {"service": "maps", "priority": 1, "aim_seconds": 0.4, "asked": 900}
     lately = LatelySeen(served=served, refused=refused, wait_seconds=served * wait)
     return WaitingSummary(**defaults | fields, lately=lately)
 
 
-def status(name: str, place: str, *summaries: WaitingSummary) -> StatusReply:
+def status(name: str, data_centre: str, *summaries: WaitingSummary) -> StatusReply:
     return StatusReply(
         name=name,
         role="balancer",
-        data_centre=place,
+        data_centre=data_centre,
         state="running",
         version=3,
         uptime=1.0,
@@ -36,67 +41,67 @@
 
 
 class UnfairnessTests(unittest.TestCase):
-    """Two balancers in the first data centre, one in the second."""
+    """Sums by data centre, and marks where callers are served worse."""
 
     def marks(self, first: WaitingSummary, second: WaitingSummary) -> list[tuple]:
-        found = caller_waits(
+        found = summarise_callers(
             [status("b1", "dc-1", first), None, status("b2", "dc-2", second)]
         )
         return [each.marks for each in found]
 
     def test_added_up(self) -> None:
-        """Balancers of one place are added, and the oldest of all is shown."""
+        """Counts are summed by data centre; the oldest wait is shown."""
         near = waiting(served=60, wait=0.1, in_time=3, oldest_seconds=0.2)
         far = waiting(served=40, wait=0.2, late=2, oldest_seconds=1.1)
         refusing = waiting(
             served=90, wait=0.1, refused=10, refused_by_reason={"would be late": 7}
         )
         replies = [status("b1", "dc-1", near), status("b2", "dc-1", far)]
-        first, second = caller_waits([*replies, status("b3", "dc-2", refusing)])
+        first, second = summarise_callers([*replies, status("b3", "dc-2", refusing)])
         self.assertEqual((first.in_time, first.late, first.asked), (3, 2, 1800))
         self.assertAlmostEqual(first.oldest_seconds, 1.1)
         self.assertAlmostEqual(second.refused_share, 0.1)
-        shown = "\n".join(waiting_lines((first, second)))
+        shown = "\n".join(caller_lines((first, second)))
         self.assertIn("callers of maps (priority 1) in dc-1: 3 wait in time", shown)
         self.assertIn("refused: would be late 7", shown)
 
     def test_longer(self) -> None:
-        """A quarter of the aim more than elsewhere is marked, a tenth isn't."""
+        """A mean wait is marked only if it is much longer than elsewhere."""
         calm = waiting(served=100, wait=0.05)
         marks = self.marks(waiting(served=100, wait=0.2), calm)
-        self.assertEqual(marks, [(LONGER,), ()])
+        self.assertEqual(marks, [(WAITS_LONGER,), ()])
         self.assertEqual(self.marks(waiting(served=100, wait=0.09), calm), [(), ()])
 
     def test_not_served_at_all(self) -> None:
-        """Who still waits counts too: the worst off are the ones not served yet."""
+        """Flows that still wait count in the mean wait."""
         stuck = waiting(served=0, wait=0.0, late=80, waited_seconds=60.0)
         calm = waiting(served=100, wait=0.05)
-        self.assertEqual(self.marks(stuck, calm), [(LONGER,), ()])
+        self.assertEqual(self.marks(stuck, calm), [(WAITS_LONGER,), ()])
 
     def test_refused_more(self) -> None:
-        """Refusals that chance would explain aren't marked."""
+        """A difference in rejections that chance may explain isn't marked."""
         few = waiting(served=97, wait=0.1, refused=3)
         many = waiting(served=80, wait=0.1, refused=20)
-        self.assertEqual(self.marks(many, few), [(MORE,), ()])
+        self.assertEqual(self.marks(many, few), [(REFUSED_MORE,), ()])
         some = waiting(served=90, wait=0.1, refused=9)
         self.assertEqual(self.marks(some, few), [(), ()])
 
     def test_too_few(self) -> None:
-        """A handful of callers proves nothing."""
+        """Nothing is marked if there are too few callers to compare."""
         slow = waiting(served=5, wait=2.0)
         self.assertEqual(self.marks(slow, waiting(served=100, wait=0.1)), [(), ()])
 
     def test_alone(self) -> None:
-        """With one data centre there is no elsewhere."""
-        found = caller_waits([status("b1", "dc-1", waiting(served=99, wait=2.0))])
+        """Nothing is marked if there is only one data centre."""
+        found = summarise_callers([status("b1", "dc-1", waiting(served=99, wait=2.0))])
         self.assertEqual(found[0].marks, ())
 
 
 class SlotTests(unittest.TestCase):
-    """What two answers of an agent, two seconds apart, tell of its slots."""
+    """Use of slots between two samples."""
 
     def test_shares(self) -> None:
-        """What came between counts; an agent that began anew between is left out."""
+        """Shares cover the time between samples, without restarted agents."""
         targets = {
             name: TargetStatus(
                 record=record(name), load=LoadReport(number=1), suspected=False
@@ -117,15 +122,15 @@
             "runs": 1000,
             "silent": 7,
         }
-        gains = {"busy_seconds": 3.0, "idle_seconds": 1.0, "runs": 60}
-        gains["idle_while_queued_seconds"] = 0.4
-        late = {name: value + gains.get(name, 0) for name, value in early.items()}
+        increases = {"busy_seconds": 3.0, "idle_seconds": 1.0, "runs": 60}
+        increases["idle_while_queued_seconds"] = 0.4
+        late = {name: value + increases.get(name, 0) for name, value in early.items()}
         late["reserved"] = 0
-        anew = dict.fromkeys(early, 0.0)
-        (found,) = added_slots(
+        restarted = dict.fromkeys(early, 0.0)
+        (found,) = sum_slot_use(
             targets,
             before={"maps-1": early, "maps-2": early},
-            after={"maps-1": late, "maps-2": anew},
+            after={"maps-1": late, "maps-2": restarted},
         )
         self.assertEqual((found.agents, found.slots, found.queued), (1, 2, 2))
         self.assertAlmostEqual(found.busy_share, 0.75)
@@ -135,23 +140,23 @@
 
 
 class Session:
-    """An operator's session whose balancers stand in two data centres."""
+    """An operator's session with fixed balancer statuses."""
 
     def __init__(self, *statuses: StatusReply) -> None:
         self.platform = FakeStore()
         self._statuses = {reply.name: reply for reply in statuses}
 
     async def balancers(self) -> dict[str, None]:
-        """Return the names that `statuses` is asked for."""
+        """Return the balancers' names."""
         return dict.fromkeys(self._statuses)
 
     async def statuses(self, balancers) -> dict[str, StatusReply]:
-        """Return how the balancers stand."""
+        """Return the fixed statuses."""
         return self._statuses
 
 
 class StatusTests(unittest.IsolatedAsyncioTestCase):
-    """The command itself."""
+    """Output of the ``status`` command."""
 
     async def shown(self, *, as_json: bool) -> str:
         out = io.StringIO()
@@ -164,14 +169,14 @@
         return out.getvalue()
 
     async def test_one_waits_far_longer(self) -> None:
-        """The data centre whose callers wait longer is marked, and no other."""
+        """Only the data centre whose callers wait longer is marked."""
         lines = (await self.shown(as_json=False)).splitlines()
-        marked = [line for line in lines if LONGER.upper() in line]
+        marked = [line for line in lines if WAITS_LONGER.upper() in line]
         self.assertEqual(len(marked), 1)
         self.assertIn("in dc-1", marked[0])
 
     async def test_as_json(self) -> None:
-        """Programs get the same, with the marks."""
+        """The JSON output contains the marks."""
         content = json.loads(await self.shown(as_json=True))
         marks = {each["data_centre"]: each["marks"] for each in content["callers"]}
-        self.assertEqual(marks, {"dc-1": [LONGER], "dc-2": []})
+        self.assertEqual(marks, {"dc-1": [WAITS_LONGER], "dc-2": []})
--- a/tests/operator/test_change.py
+++ b/tests/operator/test_change.py
@@ -1,4 +1,4 @@
-"""Changing the configuration: races, lost answers, outages."""
+"""Changes of the configuration: races, lost responses, outages."""
 
 import asyncio
 import random
@@ -43,12 +43,12 @@
         self.draw = random.Random(1)
 
     async def apply(self, what: Change, *, base=None, **options):
-        """Apply a change on top of what the platform holds."""
+        """Apply a change based on the stored configuration."""
         base = base or await read_stored(self.platform)
         return await change(self.platform, what, base=base, draw=self.draw, **options)
 
     async def test_accepted_with_audit_entry(self):
-        """An accepted change is stored with its audit entry, and can be read."""
+        """An accepted change is stored with its audit entry."""
         outcome = await self.apply(wanted("ana"))
         self.assertIsInstance(outcome, Accepted)
         (entry,) = await read_audit(self.platform)
@@ -58,7 +58,7 @@
         self.assertEqual(unstore(value.value).version, 1)
 
     async def test_two_operators(self):
-        """The second of two sees a conflict that names the first's change."""
+        """The second of two changes is a conflict that names the first."""
         base = await read_stored(self.platform)
         await self.apply(wanted("ana"), base=base)
         outcome = await self.apply(wanted("ben", 7002), base=base)
@@ -67,11 +67,11 @@
         self.assertEqual(len(await read_audit(self.platform)), 1)
 
     async def test_base_of_a_lost_history(self):
-        """A change on top of what the store has lost since is a conflict."""
-        copy = self.platform.store.copy()
+        """A change based on a version that a restore removed is a conflict."""
+        backup = self.platform.store.copy()
         await self.apply(wanted("ana"))
         base = await read_stored(self.platform)
-        self.platform.store.restore(copy)
+        self.platform.store.restore(backup)
         await self.apply(wanted("ben", 7002))
         self.assertEqual((await read_stored(self.platform)).version, base.version)
         outcome = await self.apply(wanted("ana", 7003), base=base)
@@ -79,7 +79,7 @@
         self.assertEqual(outcome.by.stored.who, "ben")
 
     async def test_races(self):
-        """Of two at the same moment, 50 times, one wins and one is told."""
+        """Of two concurrent changes one is accepted, one is a conflict."""
         for number in range(RACES):
             base = await read_stored(self.platform)
             self.platform.lost_answers = number % 3
@@ -93,14 +93,14 @@
         self.assertEqual([e.version for e in entries], list(range(1, RACES + 1)))
 
     async def test_lost_answer(self):
-        """A change whose answer was lost is found to be accepted."""
+        """A change whose response was lost is found to be accepted."""
         self.platform.lost_answers = 1
         outcome = await self.apply(wanted("ana"))
         self.assertEqual(outcome.version, 1)
         self.assertEqual(len(await read_audit(self.platform)), 1)
 
     async def test_lost_answer_and_a_later_change(self):
-        """It is found even when another change took effect after it."""
+        """A lost response is resolved even after a later change."""
         base = await read_stored(self.platform)
         real = self.platform.transact
         later = self.apply
@@ -118,7 +118,7 @@
         self.assertEqual((await read_stored(self.platform)).stored.who, "ben")
 
     async def test_unreachable(self):
-        """An outage in the middle ends as unknown, with the id to look for."""
+        """A change during a long outage ends as unknown, with its apply id."""
         base = await read_stored(self.platform)
         self.platform.is_down = True
         outcome = await self.apply(wanted("ana"), base=base, resolve_seconds=0.2)
@@ -126,7 +126,7 @@
         self.assertEqual(outcome.apply_id, "ana-7001")
 
     async def test_outage_that_ends(self):
-        """An outage that ends in time is waited out."""
+        """A change is retried until a short outage ends."""
         base = await read_stored(self.platform)
         self.platform.is_down = True
         asyncio.get_running_loop().call_later(
@@ -135,7 +135,7 @@
         self.assertIsInstance(await self.apply(wanted("ana"), base=base), Accepted)
 
     async def test_stored_value_is_nonsense(self):
-        """A stored value that isn't ours is an error that can be told."""
+        """A malformed stored value raises ValueError."""
         for value in (b"", b"{}", b"[1]", b'{"version": "x"}', b"\x00\xff"):
             with self.subTest(value=value):
                 with self.assertRaises(ValueError):
@@ -144,12 +144,12 @@
                     unpack(value)
 
     async def test_packed_for_peers_and_agents(self):
-        """A peer is given all, an agent its own service and no files."""
+        """A peer's copy is complete; an agent's has only its service."""
         await self.apply(wanted("ana"))
         value = (await self.platform.read(CONFIGURATION)).values_by_key[CONFIGURATION]
         self.assertEqual(unpack(pack(value.value)), value.value)
-        mine = unstore(unpack(pack(value.value, service="maps")))
-        self.assertEqual(list(mine.services_by_name), ["maps"])
+        own = unstore(unpack(pack(value.value, service="maps")))
+        self.assertEqual(list(own.services_by_name), ["maps"])
         other = unstore(unpack(pack(value.value, service="logs")))
         self.assertEqual((other.version, other.services_by_name), (1, {}))
         self.assertEqual(
@@ -159,6 +159,6 @@
             unpack(pack(value.value)[:-3])
 
     async def test_platform_with_an_older_value(self):
-        """After a restore the next version is above any that is in force."""
+        """After a restore the next version is greater than any in force."""
         outcome = await self.apply(wanted("ana"), newest_in_force=41)
         self.assertEqual(outcome.version, 42)
--- a/tests/operator/test_commands.py
+++ b/tests/operator/test_commands.py
@@ -1,19 +1,19 @@
-"""What the operators' commands print."""
+"""Output of the operators' commands."""
 
 import json
 import unittest
 
 from monsoonpier.model.target import LoadReport
-from monsoonpier.operator.commands import plain
+from monsoonpier.operator.commands import to_json_types
 from monsoonpier.wire.control import StatusReply, TargetStatus
 from tests.rig import record
 
 
 class PlainTests(unittest.TestCase):
-    """Status as JSON."""
+    """Conversion of wire messages to JSON."""
 
-    def test_names_stand_in_it(self):
-        """Fields have their names, conditions their words, bytes their digits."""
+    def test_types(self):
+        """Structs become objects; enum members and bytes become strings."""
         target = TargetStatus(
             record=record("maps-1"), load=LoadReport(number=3), suspected=False
         )
@@ -26,7 +26,7 @@
             uptime=1.5,
             targets=(target,),
         )
-        content = json.loads(json.dumps(plain({"b1": reply, "b2": None})))
+        content = json.loads(json.dumps(to_json_types({"b1": reply, "b2": None})))
         self.assertIsNone(content["b2"])
         self.assertEqual(content["b1"]["version"], 7)
         shown = content["b1"]["targets"][0]
--- a/tests/operator/test_evacuate.py
+++ b/tests/operator/test_evacuate.py
@@ -1,4 +1,4 @@
-"""Orders to evacuate: races, lost answers, what speaks against them."""
+"""Evacuation orders: races, lost responses, obstacles, and the commands."""
 
 import contextlib
 import io
@@ -9,20 +9,20 @@
 
 from monsoonpier.exits import Exit
 from monsoonpier.model.target import Condition, LoadReport
-from monsoonpier.operator.evacuate import (
-    Order,
-    find_obstacles,
-    place_order,
-    read_entries,
-    read_orders,
-    take_back,
-)
+from monsoonpier.operator.conditional_write import PreconditionFailed, Written
 from monsoonpier.operator.evacuation_commands import (
     evacuate,
     evacuation_lines,
     readmit,
 )
-from monsoonpier.operator.write import Refused, Written
+from monsoonpier.operator.evacuation_orders import (
+    EvacuationOrder,
+    find_obstacles,
+    read_evacuation_audit,
+    read_orders,
+    remove_order,
+    store_order,
+)
 from monsoonpier.store.interface import Put
 from monsoonpier.store.keys import EVACUATIONS
 from monsoonpier.wire.control import StatusReply, TargetStatus
@@ -30,9 +30,9 @@
 from tests.rig import record
 
 
-def order(who: str, *, at: int = 1) -> Order:
-    """Return an operator's order on the first data centre."""
-    return Order(
+def order(who: str, *, at: int = 1) -> EvacuationOrder:
+    """Return an operator's order for the first data centre."""
+    return EvacuationOrder(
         data_centre="dc-1",
         order_id=f"{who}-{at}",
         who=who,
@@ -40,10 +40,15 @@
     )
 
 
-def target(name: str, *, service: str = "maps", place: str = "dc-1", flows: int = 0):
-    """Return a serving target as a balancer tells of it."""
+def target(
+    name: str, *, service: str = "maps", data_centre: str = "dc-1", flows: int = 0
+):
+    """Return a serving target as balancers report it."""
     made = msgspec.structs.replace(
-        record(name), service=service, data_centre=place, condition=Condition.SERVING
+        record(name),
+        service=service,
+        data_centre=data_centre,
+        condition=Condition.SERVING,
     )
     load = LoadReport(number=1, flows=flows)
     return TargetStatus(record=made, load=load, suspected=False)
@@ -56,98 +61,97 @@
         self.platform = FakeStore()
         self.draw = random.Random(1)
 
-    async def place(self, wanted: Order):
-        return await place_order(self.platform, wanted, draw=self.draw)
+    async def store_order(self, wanted: EvacuationOrder):
+        return await store_order(self.platform, wanted, draw=self.draw)
 
-    async def take_back(self, wanted: Order):
-        held = (await read_orders(self.platform))["dc-1"]
-        return await take_back(self.platform, wanted, held=held, draw=self.draw)
+    async def remove_order(self, wanted: EvacuationOrder):
+        stored = (await read_orders(self.platform))["dc-1"]
+        return await remove_order(self.platform, wanted, stored=stored, draw=self.draw)
 
-    async def test_placed_and_taken_back(self):
-        """An order stands until it is taken back; the audit trail keeps both."""
-        self.assertIsInstance(await self.place(order("ana")), Written)
+    async def test_stored_and_removed(self):
+        """An order is in force until removed; both are in the audit trail."""
+        self.assertIsInstance(await self.store_order(order("ana")), Written)
         self.assertEqual(set(await read_orders(self.platform)), {"dc-1"})
-        self.assertIsInstance(await self.take_back(order("ben", at=2)), Written)
+        self.assertIsInstance(await self.remove_order(order("ben", at=2)), Written)
         self.assertEqual(await read_orders(self.platform), {})
-        entries = await read_entries(self.platform)
+        entries = await read_evacuation_audit(self.platform)
         self.assertEqual(
             [(entry.who, entry.note) for entry in entries],
             [("ana", "evacuate"), ("ben", "readmit")],
         )
 
     async def test_second_order(self):
-        """Of two operators the second is refused and changes nothing."""
-        await self.place(order("ana"))
-        self.assertIsInstance(await self.place(order("ben", at=2)), Refused)
+        """A second order for a data centre is rejected, changing nothing."""
+        await self.store_order(order("ana"))
+        self.assertIsInstance(
+            await self.store_order(order("ben", at=2)), PreconditionFailed
+        )
         self.assertEqual((await read_orders(self.platform))["dc-1"].entry.who, "ana")
-        self.assertEqual(len(await read_entries(self.platform)), 1)
-
-    async def test_taken_back_twice(self):
-        """Who takes back an order that is gone is refused."""
-        await self.place(order("ana"))
-        held = (await read_orders(self.platform))["dc-1"]
-        await self.take_back(order("ben", at=2))
-        late = await take_back(
-            self.platform, order("ana", at=3), held=held, draw=self.draw
+        self.assertEqual(len(await read_evacuation_audit(self.platform)), 1)
+
+    async def test_removed_twice(self):
+        """Removing an order that was already removed is rejected."""
+        await self.store_order(order("ana"))
+        stored = (await read_orders(self.platform))["dc-1"]
+        await self.remove_order(order("ben", at=2))
+        late = await remove_order(
+            self.platform, order("ana", at=3), stored=stored, draw=self.draw
         )
-        self.assertIsInstance(late, Refused)
+        self.assertIsInstance(late, PreconditionFailed)
 
     async def test_order_of_a_lost_history(self):
-        """Another's order by the same revision isn't taken back in place of one's own.
-
-        The store came back from a copy after the order had been read.
-        """
-        copy = self.platform.store.copy()
-        await self.place(order("ana"))
-        held = (await read_orders(self.platform))["dc-1"]
-        self.platform.store.restore(copy)
-        await self.place(order("ben", at=2))
+        """An order with a revision reused after a restore isn't removed."""
+        backup = self.platform.store.copy()
+        await self.store_order(order("ana"))
+        stored = (await read_orders(self.platform))["dc-1"]
+        self.platform.store.restore(backup)
+        await self.store_order(order("ben", at=2))
         again = (await read_orders(self.platform))["dc-1"]
-        self.assertEqual(again.revision.number, held.revision.number)
-        late = await take_back(
-            self.platform, order("ana", at=3), held=held, draw=self.draw
+        self.assertEqual(again.revision.number, stored.revision.number)
+        late = await remove_order(
+            self.platform, order("ana", at=3), stored=stored, draw=self.draw
         )
-        self.assertIsInstance(late, Refused)
+        self.assertIsInstance(late, PreconditionFailed)
         self.assertEqual((await read_orders(self.platform))["dc-1"].entry.who, "ben")
 
     async def test_lost_answers(self):
-        """An order whose answer was lost is found to be in force, and its end too."""
+        """Lost responses to storing and removing an order are resolved."""
         self.platform.lost_answers = 1
-        self.assertIsInstance(await self.place(order("ana")), Written)
+        self.assertIsInstance(await self.store_order(order("ana")), Written)
         self.platform.lost_answers = 1
-        self.assertIsInstance(await self.take_back(order("ana", at=2)), Written)
-        self.assertEqual(len(await read_entries(self.platform)), 2)
+        self.assertIsInstance(await self.remove_order(order("ana", at=2)), Written)
+        self.assertEqual(len(await read_evacuation_audit(self.platform)), 2)
 
     async def test_written_by_hand(self):
-        """An order that no command wrote holds, and can be taken back."""
+        """An order that no command wrote is in force and can be removed."""
         put = Put(key=EVACUATIONS + "dc-1", value=b"\xff")
         await self.platform.transact(compares=(), puts=(put,))
         self.assertEqual(
             (await read_orders(self.platform))["dc-1"].entry.who, "unknown"
         )
-        self.assertIsInstance(await self.take_back(order("ben")), Written)
+        self.assertIsInstance(await self.remove_order(order("ben")), Written)
 
 
 class ObstacleTests(unittest.TestCase):
-    """What speaks against an order."""
+    """Reasons not to evacuate a data centre."""
 
     def test_none(self):
-        """Where others serve all of its services nothing does."""
-        targets = [target("maps-1"), target("maps-2", place="dc-2")]
+        """There is none if other data centres serve all its services."""
+        targets = [target("maps-1"), target("maps-2", data_centre="dc-2")]
         self.assertEqual(find_obstacles("dc-1", targets, evacuated=()), [])
 
-    def test_unknown_place(self):
-        """A place without targets is unknown; those that are known are named."""
+    def test_unknown_data_centre(self):
+        """A data centre without targets is unknown; known ones are listed."""
         (problem,) = find_obstacles("dc-9", [target("maps-1")], evacuated=())
         self.assertIn("dc-1", problem)
 
     def test_last_one(self):
-        """Each service that nobody would serve is named."""
+        """Each service that would have no targets left is listed."""
         targets = [
             target("maps-1"),
             target("logs-1", service="logs"),
-            target("maps-2", place="dc-2"),
-            target("logs-2", service="logs", place="dc-3"),
+            target("maps-2", data_centre="dc-2"),
+            target("logs-2", service="logs", data_centre="dc-3"),
         ]
         problems = find_obstacles("dc-1", targets, evacuated=("dc-3",))
         self.assertEqual(len(problems), 1)
@@ -155,12 +159,12 @@
 
 
 class StatusTests(unittest.IsolatedAsyncioTestCase):
-    """What ``status`` tells of an evacuation."""
+    """Evacuations in the output of ``status``."""
 
     async def test_open_flows(self):
-        """Flows that are still open there are counted once."""
+        """Open flows that several balancers report are counted once."""
         platform = FakeStore()
-        await place_order(platform, order("ana"), draw=random.Random(1))
+        await store_order(platform, order("ana"), draw=random.Random(1))
         status = StatusReply(
             name="b1",
             role="balancer",
@@ -168,7 +172,7 @@
             state="running",
             version=1,
             uptime=1.0,
-            targets=(target("maps-1", flows=7), target("maps-2", place="dc-2")),
+            targets=(target("maps-1", flows=7), target("maps-2", data_centre="dc-2")),
         )
         (line,) = evacuation_lines(await read_orders(platform), [status, status])
         self.assertIn("by ana", line)
@@ -176,7 +180,7 @@
 
 
 class Session:
-    """An operator's session with two balancers that obey the store at once."""
+    """An operator's session with two balancers that follow the store."""
 
     def __init__(self, *targets: TargetStatus) -> None:
         self.platform = FakeStore()
@@ -185,11 +189,11 @@
         self.lagging: frozenset[str] = frozenset()
 
     async def balancers(self) -> dict[str, None]:
-        """Return the names that `statuses` is asked for."""
+        """Return the balancers' names."""
         return {"b1": None, "b2": None}
 
     async def statuses(self, balancers) -> dict[str, StatusReply]:
-        """Return how the balancers stand."""
+        """Return statuses with the stored orders unless a balancer lags."""
         orders = tuple(sorted(await read_orders(self.platform)))
         return {
             name: StatusReply(
@@ -207,20 +211,20 @@
 
 
 class CommandTests(unittest.IsolatedAsyncioTestCase):
-    """What ``evacuate`` and ``readmit`` do and say."""
+    """Effects and output of ``evacuate`` and ``readmit``."""
 
     async def asyncSetUp(self) -> None:
-        self.session = Session(target("maps-1"), target("maps-2", place="dc-2"))
+        self.session = Session(target("maps-1"), target("maps-2", data_centre="dc-2"))
         self.out, self.err = io.StringIO(), io.StringIO()
         self.enterContext(contextlib.redirect_stdout(self.out))
         self.enterContext(contextlib.redirect_stderr(self.err))
 
-    async def evacuate(self, place: str, **options) -> int:
+    async def evacuate(self, data_centre: str, **options) -> int:
         fields = {"who": "ana", "force": False, "wait_seconds": 0.2} | options
-        return await evacuate(self.session, place, **fields)
+        return await evacuate(self.session, data_centre, **fields)
 
     async def test_there_and_back(self):
-        """Both orders are in force on all balancers before the commands end."""
+        """Both commands wait until their order is in force everywhere."""
         self.assertEqual(await self.evacuate("dc-1"), Exit.OK)
         self.assertEqual(
             await readmit(self.session, "dc-1", who="ana", wait_seconds=0.2), Exit.OK
@@ -229,7 +233,7 @@
         self.assertEqual(await read_orders(self.session.platform), {})
 
     async def test_refused(self):
-        """Unknown places, last ones and places evacuated already change nothing."""
+        """Unknown, last and already evacuated data centres are rejected."""
         self.assertEqual(await self.evacuate("dc-9"), Exit.BAD_INPUT)
         await self.evacuate("dc-1")
         self.assertEqual(await self.evacuate("dc-1"), Exit.CONFLICT)
@@ -238,24 +242,24 @@
         self.assertEqual(set(await read_orders(self.session.platform)), {"dc-1"})
 
     async def test_forced(self):
-        """The last one is evacuated on demand."""
+        """The last serving data centre is evacuated with ``--force``."""
         await self.evacuate("dc-1")
         self.assertEqual(await self.evacuate("dc-2", force=True), Exit.OK)
 
     async def test_not_evacuated(self):
-        """Who readmits what isn't evacuated is told what is."""
+        """Readmitting what isn't evacuated lists the evacuated ones."""
         await self.evacuate("dc-1")
         status = await readmit(self.session, "dc-2", who="ana", wait_seconds=0.0)
         self.assertEqual(status, Exit.BAD_INPUT)
         self.assertIn("evacuated: dc-1", self.err.getvalue())
 
     async def test_lagging(self):
-        """A balancer that doesn't obey in time is named."""
+        """A balancer that doesn't follow an order in time is named."""
         self.session.lagging = frozenset({"b2"})
         self.assertEqual(await self.evacuate("dc-1"), Exit.LAGGING)
         self.assertIn("b2", self.err.getvalue())
 
-    async def test_platform_away(self):
-        """Without the platform nothing is ordered."""
+    async def test_platform_unreachable(self):
+        """A command fails if the platform is unreachable."""
         self.session.platform.is_down = True
         self.assertEqual(await self.evacuate("dc-1"), Exit.UNAVAILABLE)
--- a/tests/operator/test_explain.py
+++ b/tests/operator/test_explain.py
@@ -1,11 +1,11 @@
-"""The story of one flow out of several processes' logs."""
+"""Log lines of one flow, from the logs of several processes."""
 
 import json
 import tempfile
 import unittest
 from pathlib import Path
 
-from monsoonpier.operator.explain import explain, read_lines, render
+from monsoonpier.operator.explain import explain, format_lines, read_lines
 
 FLOW = "100.64.0.7:40001>198.18.0.1:443"
 
@@ -17,7 +17,7 @@
 
 
 class ExplainTests(unittest.TestCase):
-    """Lines of a flow, with beliefs about the processes that took part."""
+    """Lines of a flow, with context about the processes involved."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -29,8 +29,8 @@
         file.write_text("\n".join(lines) + "\n")
         return file
 
-    def test_story(self) -> None:
-        """Both processes' lines stand in order, other flows' don't."""
+    def test_lines_of_a_flow(self) -> None:
+        """Lines of both processes are in order, without other flows' lines."""
         balancer = self.write(
             "lb-1.log",
             "starting up, no JSON here",
@@ -47,14 +47,14 @@
         )
         other = self.write("maps-2.log", line(7, "maps-2", "target started"))
         lines = read_lines([agent, other, balancer])
-        story = explain(lines, flow="100.64.0.7:40001")
+        found = explain(lines, flow="100.64.0.7:40001")
         self.assertEqual(
-            [found.event for found in story],
+            [each.event for each in found],
             ["flow placed", "target does not listen", "caller reset"],
         )
-        self.assertIn("reason=nobody holds the flow", render(story))
+        self.assertIn("reason=nobody holds the flow", format_lines(found))
 
     def test_unknown_flow(self) -> None:
-        """A flow that no line is about has no story."""
+        """A flow that no line is about has no lines."""
         file = self.write("lb-1.log", line(1, "lb-1", "started"))
         self.assertEqual(explain(read_lines([file]), flow="10.0.0.1:5"), [])
