--- a/monsoonpier/operator/caller_waits.py
+++ b/monsoonpier/operator/caller_waits.py
@@ -119,6 +119,7 @@
 def _class_waits(
     data_centre: str, summaries_by_data_centre: dict[str, list[WaitingSummary]]
 ) -> ClassWaits:
+    """Sum one data centre's summaries and compare them with the others'."""
     own = summaries_by_data_centre[data_centre]
     others = [
         s
@@ -150,6 +151,7 @@
 
 
 def _sum_recent(summaries: Iterable[WaitingSummary]) -> _RecentCounts:
+    """Sum the recent counts, including the flows that wait now."""
     listed = list(summaries)
     served = sum(summary.lately.served for summary in listed)
     refused = sum(summary.lately.refused for summary in listed)
--- a/monsoonpier/operator/change.py
+++ b/monsoonpier/operator/change.py
@@ -28,7 +28,7 @@
 __all__ = [
     "Accepted",
     "AuditEntry",
-    "Base",
+    "BaseConfiguration",
     "Change",
     "Conflict",
     "Unknown",
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Base:
+class BaseConfiguration:
     """The configuration that a change is based on, with its store revision."""
 
     stored: Stored
@@ -94,9 +94,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Conflict:
-    """Outcome of a change that another preceded; nothing was stored."""
+    """Outcome of a change that was not stored because ``by`` came first."""
 
-    by: Base
+    by: BaseConfiguration
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -111,7 +111,7 @@
     platform: Store,
     wanted: Change,
     *,
-    base: Base,
+    base: BaseConfiguration,
     newest_in_force: int = 0,
     draw: random.Random,
     resolve_seconds: float = RESOLVE_SECONDS,
@@ -171,7 +171,7 @@
             return Unknown(reason=reason, apply_id=wanted.apply_id)
 
 
-async def read_stored(platform: Store) -> Base:
+async def read_stored(platform: Store) -> BaseConfiguration:
     """Return the stored configuration, or an empty one of version 0.
 
     Raises:
@@ -181,8 +181,10 @@
     value = found.values_by_key.get(CONFIGURATION)
     if value is None:
         empty = Stored(version=0, apply_id="", who="", at="", files={}, services={})
-        return Base(stored=empty)
-    return Base(stored=decode_stored(value.value), mod_revision=value.mod_revision)
+        return BaseConfiguration(stored=empty)
+    return BaseConfiguration(
+        stored=decode_stored(value.value), mod_revision=value.mod_revision
+    )
 
 
 async def read_audit(platform: Store, *, version: int = 0) -> list[AuditEntry]:
--- a/monsoonpier/operator/commands.py
+++ b/monsoonpier/operator/commands.py
@@ -202,7 +202,7 @@
 
 
 def _read_and_parse(paths: Iterable[Path]) -> tuple[dict[str, str], ParsedFiles | None]:
-    """Read and parse files; print any errors and return ``None`` for them."""
+    """Read and parse files; print errors, returning no services then."""
     texts_by_name, findings = read_files(paths)
     parsed = parse_files(texts_by_name) if texts_by_name else ParsedFiles()
     findings = (*findings, *parsed.findings)
--- a/monsoonpier/operator/evacuation_commands.py
+++ b/monsoonpier/operator/evacuation_commands.py
@@ -45,15 +45,17 @@
 ) -> int:
     """Order the balancers to send no new flows to a data centre.
 
+    Nothing is changed if a service would have no targets left, unless
+    ``force`` is set.
+
     Args:
         session: Connections to the store and the processes.
         data_centre: Name of the data centre.
         who: Name of the operator for the audit trail; if empty, the login
             name.
-        force: Whether to evacuate although a service would have no targets
-            left.
-        wait_seconds: How long to wait until every balancer obeys; 0 to not
-            wait.
+        force: Whether to evacuate despite such obstacles.
+        wait_seconds: The longest time to wait until the order is in force on
+            every balancer; 0 to return at once.
 
     Returns:
         The exit status.
@@ -132,6 +134,7 @@
 
 
 def _already_evacuated(stored: StoredOrder) -> str:
+    """Return the error message for a data centre that is evacuated already."""
     entry = stored.entry
     return f"{entry.data_centre} has been evacuated since {entry.at} by {entry.who}"
 
