--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""The demo and the measurements; none of them is a test."""
+"""The demo, the soak test and measurements; not part of the test suite."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,7 @@
-"""``make bench``: one JSON line a figure, kept in docs/figures/bench.jsonl."""
+"""Runs measurements (``make bench``); prints each figure as a line of JSON.
+
+A run of all measurements also writes them to docs/figures/bench.jsonl.
+"""
 
 import json
 import sys
@@ -8,10 +11,10 @@
 
 from bench import link_use, packet_placement, placement, policy_bound, running
 
-KEPT = Path(__file__).parent.parent / "docs" / "figures" / "bench.jsonl"
+RESULTS_FILE = Path(__file__).parent.parent / "docs" / "figures" / "bench.jsonl"
 
 
-async def _run(wanted: list[str], write) -> None:
+async def _run(names: list[str], write) -> None:
     simulated = (
         placement.broken_flows,
         placement.imbalance,
@@ -20,17 +23,17 @@
         link_use.link_use,
     )
     for measure in simulated:
-        if not wanted or measure.__name__ in wanted:
+        if not names or measure.__name__ in names:
             for figure in measure():
                 write(figure)
     for measure in running.ALL:
-        if not wanted or measure.__name__ in wanted:
+        if not names or measure.__name__ in names:
             async for figure in measure():
                 write(figure)
 
 
 def main() -> None:
-    """Run the measurements named as arguments, or all."""
+    """Run the measurements named on the command line, or all of them."""
     figures = []
 
     def write(figure: dict) -> None:
@@ -39,8 +42,8 @@
 
     uvloop.run(_run(sys.argv[1:], write))
     if not sys.argv[1:]:
-        KEPT.parent.mkdir(parents=True, exist_ok=True)
-        KEPT.write_text("".join(json.dumps(f) + "\n" for f in figures))
+        RESULTS_FILE.parent.mkdir(parents=True, exist_ok=True)
+        RESULTS_FILE.write_text("".join(json.dumps(f) + "\n" for f in figures))
 
 
 if __name__ == "__main__":
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,7 @@
-"""``make capacity``: slopes of cost, from real processes at several sizes.
+"""Measures processor time and memory of processes (``make capacity``).
 
-Raw figures and fits go to docs/figures/capacity.json; docs/CAPACITY.md does
-the arithmetic with them.
+Each cost is measured at several sizes and fitted by a straight line. The results
+are written to docs/figures/capacity.json, which docs/CAPACITY.md uses.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 import uvloop
 
-from bench.probe import KEYRING, FakeAgents, breathe, fit, read_cost
+from bench.probe import KEYRING, FakeAgents, fit, pause_after_burst, read_cost
 from monsoonpier.documents.configuration import parse_files
 from monsoonpier.documents.stored import Stored, encode_stored, pack, unstore
 from monsoonpier.model.target import Condition, LoadReport
@@ -24,12 +24,12 @@
 from monsoonpier.wire.frames import Forward, FrameCodec, Return
 from standins.deployment import Deployment
 
-KEPT = Path(__file__).parent.parent / "docs" / "figures" / "capacity.json"
+RESULTS_FILE = Path(__file__).parent.parent / "docs" / "figures" / "capacity.json"
 PACKET_COUNTS = (10_000, 20_000, 40_000, 60_000)
 TARGET_COUNTS = (0, 500, 1_000, 2_000, 4_800)
 SERVICE_TARGETS = (5, 15, 50, 200)
 FLOW_COUNTS = (0, 10_000, 30_000, 60_000, 100_000)
-BEAT_COUNTS = (2_000, 4_000, 8_000, 16_000)
+HEARTBEAT_COUNTS = (2_000, 4_000, 8_000, 16_000)
 SERVICE_COUNTS = (10, 40, 160, 320)
 OPENS = 4_000
 OPEN_BURST = 8
@@ -39,8 +39,8 @@
 SETTLE_SECONDS = 0.5
 
 
-async def _passed_packets(deployment: Deployment, figures: dict) -> None:
-    """Cost of a packet each way through a balancer, and through a bare relay."""
+async def _forwarded_packets(deployment: Deployment, figures: dict) -> None:
+    """Measure the cost of a packet in both directions, and through a plain relay."""
     node = deployment.nodes_by_name["b1"]
     sink = await open_udp(lambda data, sender: None, ip=f"{deployment.net}.240", port=0)
     sender = await open_udp(
@@ -71,25 +71,25 @@
             load=LoadReport(number=1, condition=Condition.SERVING),
         )
     )
-    ways = {
+    paths = {
         "relay": (relay.pid, b"r" * PACKET_BYTES, (f"{deployment.net}.242", 9500)),
         "to agent": (node.pid, ping, (node.ip, 7001)),
         "to caller": (node.pid, reply, (node.ip, 9000)),
     }
-    for name, (pid, data, to) in ways.items():
+    for name, (pid, data, to) in paths.items():
         points = []
         for count in PACKET_COUNTS:
             received = sink.bytes_in
             before = read_cost(pid)
             for number in range(count):
                 sender.send(data, to)
-                await breathe(number)
+                await pause_after_burst(number)
             await asyncio.sleep(SETTLE_SECONDS)
-            passed = sink.bytes_in - received
+            forwarded = sink.bytes_in - received
             spent = read_cost(pid).seconds - before.seconds
             points.append((count, spent * 1e6))
-            if not passed:
-                raise RuntimeError(f"{name}: nothing was passed")
+            if not forwarded:
+                raise RuntimeError(f"{name}: no packet was forwarded")
         figures[f"microseconds per packet, {name}"] = fit(points)
     relay_slope = figures["microseconds per packet, relay"]["slope"]
     for name in ("to agent", "to caller"):
@@ -101,18 +101,18 @@
     sender.close()
 
 
-async def _targets_known(deployment: Deployment, figures: dict) -> None:
-    """Memory per target known, and what a heartbeat costs."""
+async def _targets_in_table(deployment: Deployment, figures: dict) -> None:
+    """Measure memory per target in the table, and the cost of a heartbeat."""
     node = await deployment.start_balancer("b-targets")
     await deployment.wait_ready("b-targets")
     agents = FakeAgents(ip=f"{deployment.net}.243", service="other")
     await agents.start()
     to = (node.ip, 9000)
     memory, idle = [], []
-    known = 0
+    announced = 0
     for count in TARGET_COUNTS:
-        await agents.announce(range(known, count), to)
-        known = count
+        await agents.announce(range(announced, count), to)
+        announced = count
         await asyncio.sleep(1.0)
         before = read_cost(node.pid)
         await asyncio.sleep(3.0)
@@ -123,11 +123,11 @@
     figures["balancer KiB by targets known"] = fit(memory)
     figures["balancer % of a core by targets known, no traffic"] = fit(idle)
     points = []
-    for count in BEAT_COUNTS:
+    for count in HEARTBEAT_COUNTS:
         before = read_cost(node.pid)
         for number in range(count):
-            agents.beat(number % known, to, report=count + number)
-            await breathe(number)
+            agents.beat(number % announced, to, report=count + number)
+            await pause_after_burst(number)
         await asyncio.sleep(SETTLE_SECONDS)
         points.append((count, (read_cost(node.pid).seconds - before.seconds) * 1e6))
     figures["balancer microseconds per heartbeat"] = fit(points)
@@ -136,15 +136,15 @@
 
 
 async def _new_flows(deployment: Deployment, figures: dict) -> None:
-    """Cost of placing a new flow, by the number of targets of its service."""
+    """Measure the cost of placing a flow by the number of targets of its service."""
     agents = FakeAgents(ip=f"{deployment.net}.244")
     await agents.start()
     node = await deployment.start_balancer("b-opens")
     await deployment.wait_ready("b-opens")
-    points, known = [], 0
+    points, announced = [], 0
     for count in SERVICE_TARGETS:
-        await agents.announce(range(known, count), (node.ip, 9000))
-        known = count
+        await agents.announce(range(announced, count), (node.ip, 9000))
+        announced = count
         await asyncio.sleep(1.0)
         opens_before = await _opens(deployment, "b-opens")
         before = read_cost(node.pid)
@@ -153,7 +153,7 @@
                 flow=number.to_bytes(16, "big"), padding=bytes(MIN_OPEN_BYTES)
             )
             agents.socket.send(caller_codec.encode(message), (node.ip, 7001))
-            await breathe(number, burst=OPEN_BURST)
+            await pause_after_burst(number, burst=OPEN_BURST)
         await asyncio.sleep(SETTLE_SECONDS)
         spent = read_cost(node.pid).seconds - before.seconds
         seen = (await deployment.metrics("b-opens"))["monsoonpier_targets"]
@@ -167,14 +167,14 @@
 
 
 async def _opens(deployment: Deployment, name: str) -> float:
-    """Return the OPENs that a balancer has decided on; lost ones don't count."""
+    """Return the number of OPENs that a balancer has processed."""
     metrics = await deployment.metrics(name)
     prefix = "monsoonpier_opens_total"
     return sum(v for k, v in metrics.items() if k.startswith(prefix))
 
 
 async def _open_flows(deployment: Deployment, figures: dict) -> None:
-    """Memory and cost per open flow on one agent."""
+    """Measure memory and cost per open flow of an agent."""
     await deployment.start_target("maps-flows", "maps")
     ip = deployment.nodes_by_name["target maps-flows"].ip
     target = {"service": "maps", "url": f"http://{ip}:8000", "slots": 3}
@@ -196,7 +196,7 @@
     codec = FrameCodec(keys=KEYRING)
     tokens: dict[int, bytes] = {}
     sender = await open_udp(
-        lambda data, address: _keep_token(codec.decode(data), tokens),
+        lambda data, address: _count_token(codec.decode(data), tokens),
         ip=f"{deployment.net}.245",
         port=0,
     )
@@ -206,7 +206,7 @@
         before = read_cost(node.pid)
         for number in range(opened, count):
             _send_open(sender, codec, number, (node.ip, 9000))
-            await breathe(number)
+            await pause_after_burst(number)
         opened = count
         await asyncio.sleep(SETTLE_SECONDS)
         after = read_cost(node.pid)
@@ -229,13 +229,13 @@
     sender.send(codec.encode(frame), to)
 
 
-def _keep_token(frame, tokens: dict[int, bytes]) -> None:
-    """Count answers; their tokens aren't needed."""
+def _count_token(frame, tokens: dict[int, bytes]) -> None:
+    """Count a response; its token isn't needed."""
     tokens[len(tokens)] = b""
 
 
 async def _idle_balancer(deployment: Deployment, figures: dict) -> None:
-    """What a balancer costs at rest, by the number of its peers."""
+    """Measure the cost of an idle balancer by the number of balancers."""
     points, calls = [], []
     for count in (1, 2, 4, 8):
         while (
@@ -273,7 +273,7 @@
 
 
 def _configuration(figures: dict) -> None:
-    """What taking a configuration costs, by the number of services."""
+    """Measure the cost of decoding a configuration by the number of services."""
     points, sizes, packed = [], [], []
     draw = random.Random(3)
     for count in SERVICE_COUNTS:
@@ -302,9 +302,9 @@
         value = encode_stored(stored)
         times = []
         for _ in range(3):
-            began = time.process_time()
+            started_at = time.process_time()
             unstore(value)
-            times.append((time.process_time() - began) * 1000)
+            times.append((time.process_time() - started_at) * 1000)
         points.append((count, statistics.median(times)))
         sizes.append((count, len(value)))
         packed.append((count, len(pack(value))))
@@ -318,7 +318,7 @@
 async def _run() -> dict:
     figures: dict = {}
     _configuration(figures)
-    _say(figures)
+    _print_new(figures)
     async with Deployment(net="127.85.1") as deployment:
         await deployment.start_surroundings()
         await deployment.start_balancer("b1")
@@ -327,28 +327,28 @@
         await deployment.wait_ready("b1")
         for measure in (
             _idle_balancer,
-            _passed_packets,
+            _forwarded_packets,
             _new_flows,
-            _targets_known,
+            _targets_in_table,
             _open_flows,
         ):
             await measure(deployment, figures)
-            _say(figures)
+            _print_new(figures)
     return figures
 
 
-_said: set[str] = set()
+_printed_names: set[str] = set()
 
 
-def _say(figures: dict) -> None:
+def _print_new(figures: dict) -> None:
     for name, value in figures.items():
-        if name not in _said:
-            _said.add(name)
+        if name not in _printed_names:
+            _printed_names.add(name)
             print(json.dumps({name: value}), flush=True)
 
 
 if __name__ == "__main__":
     result = uvloop.run(_run())
-    KEPT.parent.mkdir(parents=True, exist_ok=True)
-    KEPT.write_text(json.dumps(result, indent=1) + "\n")
+    RESULTS_FILE.parent.mkdir(parents=True, exist_ok=True)
+    RESULTS_FILE.write_text(json.dumps(result, indent=1) + "\n")
     sys.exit(0)
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,7 +1,7 @@
-"""The demo: a deployment under load while all of it is replaced.
+"""Demonstrates a deployment under load while all its processes are replaced.
 
-Steps go to stderr; the last line on stdout is one JSON object. The exit
-status is 1 if anything happened that must never happen.
+Progress is printed to stderr; the last line of stdout is a JSON object. The exit
+status is 1 if a guarantee was violated.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 from bench.packet_demo import run_packet_demo
 from standins.deployment import Deployment
-from standins.load import Judgement, Load, judge
+from standins.load import Load, LoadResult, judge
 
 MAPS = 7
 LOGS = 3
@@ -29,21 +29,23 @@
 COLD_START_SECONDS = 3.0
 SETTLE_SECONDS = 3.0
 TARGETS_AT_ONCE = 4
-EVACUATED = "dc-2"  # every second new target is there
+EVACUATED = "dc-2"  # data centre of every second new target
 EVACUATED_SECONDS = 3.0
-IN_FORCE_SECONDS = 2.0  # two heartbeats: agents know by then
+IN_FORCE_SECONDS = 2.0  # two heartbeats, in which agents learn of the evacuation
 NET = "127.81.1"
-_began = time.monotonic()
+_started_at = time.monotonic()
 
 
-def _say(text: str) -> None:
-    print(f"[{time.monotonic() - _began:5.1f} s] {text}", file=sys.stderr, flush=True)
+def _print_progress(text: str) -> None:
+    print(
+        f"[{time.monotonic() - _started_at:5.1f} s] {text}", file=sys.stderr, flush=True
+    )
 
 
 async def _start(deployment: Deployment) -> None:
-    _say("platform and fabric stand-ins start")
+    _print_progress("starting the platform and the fabric")
     await deployment.start_surroundings()
-    _say(f"{BALANCERS} balancers, {MAPS} map and {LOGS} log targets start")
+    _print_progress(f"{BALANCERS} balancers, {MAPS} map and {LOGS} log targets start")
     names = [(f"maps-{n}", "maps") for n in range(1, MAPS + 1)]
     names += [(f"logs-{n}", "logs") for n in range(1, LOGS + 1)]
     await asyncio.gather(
@@ -55,13 +57,13 @@
 
 
 async def _apply(deployment: Deployment, what: str, **changes) -> float:
-    """Apply a configuration; return seconds until it is in force everywhere."""
+    """Apply a configuration; return the seconds until all balancers use it."""
     folder = deployment.write_services(**changes)
     status, out, err = await deployment.operate("apply", str(folder), "--wait")
     if status:
         raise RuntimeError(f"apply ended with {status}: {err}")
     seconds = float(re.search(r"after ([0-9.]+) s", out)[1])
-    _say(f"{what} is in force on all balancers after {seconds} s")
+    _print_progress(f"{what} is in force on all balancers after {seconds} s")
     return seconds
 
 
@@ -71,7 +73,7 @@
         await deployment.start_balancer(new)
         await deployment.wait_ready(new)
         status = await deployment.retire_balancer(f"b{n}")
-        _say(f"balancer b{n} left with status {status}; {new} has its place")
+        _print_progress(f"balancer b{n} exited with status {status}; {new} replaces it")
 
 
 async def _replace_targets(deployment: Deployment) -> None:
@@ -81,21 +83,25 @@
 
     async def replace(service: str, old: int, new: int) -> None:
         async with gate:
-            place = EVACUATED if new % 2 else "dc-1"
-            await deployment.start_pair(f"{service}-{new}", service, data_centre=place)
+            data_centre = EVACUATED if new % 2 else "dc-1"
+            await deployment.start_pair(
+                f"{service}-{new}", service, data_centre=data_centre
+            )
             await deployment.wait_ready(f"{service}-{new}")
             status = await deployment.retire_pair(f"{service}-{old}")
-            _say(f"{service}-{old} left with {status}; {service}-{new} has its place")
+            _print_progress(
+                f"{service}-{old} exited with {status}; {service}-{new} replaces it"
+            )
 
     await asyncio.gather(*(replace(*pair) for pair in pairs))
 
 
 async def _evacuate(deployment: Deployment) -> int:
-    """Evacuate a data centre and readmit it; return how many runs began there."""
+    """Evacuate and readmit a data centre; return the runs started there meanwhile."""
     status, out, err = await deployment.operate("evacuate", EVACUATED, "--wait")
     if status:
         raise RuntimeError(f"evacuate ended with {status}: {err}")
-    _say(f"{EVACUATED} is evacuated: {out.splitlines()[-1]}")
+    _print_progress(f"{EVACUATED} is evacuated: {out.splitlines()[-1]}")
     await asyncio.sleep(IN_FORCE_SECONDS)
     since = time.time()
     await asyncio.sleep(EVACUATED_SECONDS)
@@ -103,10 +109,10 @@
     status, out, err = await deployment.operate("readmit", EVACUATED, "--wait")
     if status:
         raise RuntimeError(f"readmit ended with {status}: {err}")
-    _say(f"{EVACUATED} is readmitted: {out.splitlines()[-1]}")
-    began = [run for run in deployment.runs() if since <= run["at"] <= until]
-    there = [run for run in began if _is_evacuated(run["target"])]
-    _say(f"{len(there)} of {len(began)} runs began there meanwhile")
+    _print_progress(f"{EVACUATED} is readmitted: {out.splitlines()[-1]}")
+    started = [run for run in deployment.runs() if since <= run["at"] <= until]
+    there = [run for run in started if _is_evacuated(run["target"])]
+    _print_progress(f"{len(there)} of {len(started)} runs started there meanwhile")
     return len(there)
 
 
@@ -117,54 +123,58 @@
 
 
 async def _run() -> bool:
-    _say("flows without a token: stand-ins, balancers and agents start")
-    packets = await run_packet_demo(_say)
+    _print_progress("flows without a token: starting balancers, agents and targets")
+    packets = await run_packet_demo(_print_progress)
     return await _run_tokens(packets) and packets["is_clean"]
 
 
 async def _run_tokens(packets: dict) -> bool:
     async with Deployment(net=NET) as deployment:
         await _start(deployment)
-        _say("targets warm up for their cold start's time")
+        _print_progress("waiting for the end of the targets' cold start")
         await asyncio.sleep(COLD_START_SECONDS)
         load = Load(maps=deployment.address("maps"), logs=deployment.address("logs"))
-        _say(f"{STREAMS} streams, {READERS} readers, {UPLOADERS} uploaders start")
+        _print_progress(
+            f"{STREAMS} streams, {READERS} readers, {UPLOADERS} uploaders start"
+        )
         load.start(streams=STREAMS, readers=READERS, uploaders=UPLOADERS)
         since = time.time()
         await asyncio.sleep(STEADY_SECONDS)
         until = time.time()
-        _say("all balancers and all targets are replaced at the same time")
+        _print_progress("all balancers and all targets are replaced at the same time")
         await asyncio.gather(
             _replace_balancers(deployment), _replace_targets(deployment)
         )
-        _say(f"balancer b{BALANCERS + 1} is killed")
+        _print_progress(f"balancer b{BALANCERS + 1} is killed")
         deployment.nodes_by_name[f"b{BALANCERS + 1}"].signal(signal.SIGKILL)
         await asyncio.sleep(SETTLE_SECONDS)
         await deployment.retire_balancer(f"b{BALANCERS + 1}")
-        # The dead balancer's lease is still there; the change must not wait
-        # for it, so a new one takes its name.
+        # The killed balancer's lease has not expired. A new balancer takes its
+        # name, so that the next change need not wait for the expiry.
         await deployment.start_balancer(f"b{BALANCERS + 1}")
         await deployment.wait_ready(f"b{BALANCERS + 1}")
         seconds = await _apply(deployment, "a changed configuration", queue_per_slot=6)
         await asyncio.sleep(SETTLE_SECONDS)
         ran_there = await _evacuate(deployment)
         await asyncio.sleep(SETTLE_SECONDS)
-        _say("callers finish")
+        _print_progress("callers finish")
         await load.stop()
-        judgement = judge(load, deployment.runs())
+        result = judge(load, deployment.runs())
         for error in load.errors[:10]:
-            _say(f"error: {error}")
+            _print_progress(f"error: {error}")
         for text, count in load.troubles().most_common(10):
-            _say(f"{count} x {text}")
-        _say(f"callers' counts: {dict(load.counts)}, {judgement.not_run} not run")
-        _say(f"longest silence on a stream: {judgement.longest_silence:.2f} s")
+            _print_progress(f"{count} x {text}")
+        _print_progress(
+            f"callers' counts: {dict(load.counts)}, {result.not_run} not run"
+        )
+        _print_progress(f"longest silence on a stream: {result.longest_silence:.2f} s")
         imbalance = _imbalance(deployment.runs(), since, until)
-        _show(judgement, imbalance, seconds, ran_there, packets)
-        return judgement.is_clean and not load.errors and not ran_there
+        _print_result(result, imbalance, seconds, ran_there, packets)
+        return result.is_clean and not load.errors and not ran_there
 
 
 def _imbalance(runs: list[dict], since: float, until: float) -> float:
-    """Return largest over mean of map targets' runs before the replacement."""
+    """Return the most runs of a map target over the mean."""
     counts = Counter(
         run["target"]
         for run in runs
@@ -173,14 +183,14 @@
     return max(counts.values()) / (sum(counts.values()) / MAPS) if counts else 0.0
 
 
-def _show(
-    judgement: Judgement,
+def _print_result(
+    result: LoadResult,
     imbalance: float,
     seconds: float,
     ran_there: int,
     packets: dict,
 ) -> None:
-    line = asdict(judgement)
+    line = asdict(result)
     del line["not_run"], line["longest_silence"]
     line["imbalance"] = round(imbalance, 3)
     line["config_in_force_seconds"] = seconds
--- a/bench/link_use.py
+++ b/bench/link_use.py
@@ -1,4 +1,4 @@
-"""What links of several rates carry, and what the schedule costs a datagram."""
+"""Measures what links of several rates carry, and the schedule's cost."""
 
 import time
 from collections.abc import Iterator
@@ -18,13 +18,13 @@
 
 
 def link_use() -> Iterator[dict]:
-    """Yield what 200 callers' windows at once get of each link, and the cost."""
+    """Yield the use of each link by concurrent callers, and the cost per datagram."""
     for megabits in MEGABITS:
-        yield _at_once(megabits)
+        yield _use(megabits)
     yield _cost()
 
 
-def _at_once(megabits: int) -> dict:
+def _use(megabits: int) -> dict:
     rate = megabits * 1e6
     sent = [one for flow in range(1, CALLERS + 1) for one in window(flow)]
     sent += [
@@ -32,12 +32,12 @@
         for n in range(50)
     ]
     sent.sort(key=lambda one: one.at)
-    bare = Link(bits_per_second=rate)
-    unscheduled = send_unscheduled(sent, bare)
+    unscheduled_link = Link(bits_per_second=rate)
+    unscheduled = send_unscheduled(sent, unscheduled_link)
     link = Link(bits_per_second=rate)
     arrived, schedule = play(sent, link=link)
     small = sorted(a.waited for a in arrived if a.size == SMALL_BYTES)
-    alone = 8 * (SMALL_BYTES + 28) / rate
+    on_empty_link = 8 * (SMALL_BYTES + 28) / rate
     busy_until = max(a.at for a in arrived)
     return {
         "measure": "link_use",
@@ -49,33 +49,33 @@
         "lost_on_the_link": link.overrun,
         "dropped_before": schedule.dropped_by_reason.total(),
         "share_of_the_link": round(8 * link.carried_bytes / rate / busy_until, 3),
-        "small_longest_ms_above_empty": round(1000 * (small[-1] - alone), 2),
+        "small_longest_ms_above_empty": round(1000 * (small[-1] - on_empty_link), 2),
     }
 
 
-class _Nowhere:
-    """A socket that takes everything."""
+class _NullSocket:
+    """A socket that discards all datagrams."""
 
     def send(self, data: bytes, endpoint: tuple[str, int]) -> None:
-        """Take a datagram."""
+        """Discard a datagram."""
 
 
 def _cost() -> dict:
-    without = _microseconds(LinkSender(bits_per_second=None))
-    within = _microseconds(LinkSender(bits_per_second=1e15))
+    without_rate = _microseconds(LinkSender(bits_per_second=None))
+    with_room = _microseconds(LinkSender(bits_per_second=1e15))
     return {
         "measure": "link_cost",
         "calls": COST_CALLS,
-        "microseconds_without_rate": round(without, 3),
-        "microseconds_with_room": round(within, 3),
+        "microseconds_without_rate": round(without_rate, 3),
+        "microseconds_with_room": round(with_room, 3),
     }
 
 
 def _microseconds(sender: LinkSender) -> float:
-    socket = _Nowhere()
+    socket = _NullSocket()
     data = bytes(SMALL_BYTES)
     endpoint = ("127.0.0.1", 1)
-    began = time.process_time()
+    started_at = time.process_time()
     for _ in range(COST_CALLS):
         sender.send(socket, data, endpoint, urgency=Urgency.SMALL, flow=b"f" * 12)
-    return (time.process_time() - began) / COST_CALLS * 1e6
+    return (time.process_time() - started_at) / COST_CALLS * 1e6
--- a/bench/mutate.py
+++ b/bench/mutate.py
@@ -1,6 +1,6 @@
-"""``make mutations``: takes each guard out once and sees its test fail.
+"""Removes each listed check in turn; its test must fail (``make mutations``).
 
-Works on a scratch copy of the tree; the tree itself is not touched.
+Works on a temporary copy of the source tree.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Mutation:
-    """One guard, what stands in its place, and the test that must see it."""
+    """A check in ``file``, its replacement, and the test that must fail with it."""
 
     guard: str
     file: str
@@ -42,14 +42,14 @@
     return result.returncode != 0
 
 
-def _try(copy: Path, mutation: Mutation) -> str:
-    """Return what became of one guard's absence."""
+def _apply(copy: Path, mutation: Mutation) -> str:
+    """Apply a mutation and return its result."""
     file = copy / mutation.file
     text = file.read_text()
     if text.count(mutation.old) != 1:
-        return f"guard found {text.count(mutation.old)} times"
+        return f"check found {text.count(mutation.old)} times"
     if _fails(copy, mutation.test):
-        return "test fails with the guard in place"
+        return "test fails without the mutation"
     file.write_text(text.replace(mutation.old, mutation.new))
     try:
         return "killed" if _fails(copy, mutation.test) else "SURVIVED"
@@ -58,7 +58,7 @@
 
 
 def main() -> int:
-    """Try every mutation; return 1 if one survives."""
+    """Apply every mutation; return 1 unless all are killed."""
     listed = YAML(typ="safe", pure=True).load(LIST.read_text())
     mutations = [Mutation(**entry) for entry in listed]
     results = []
@@ -68,7 +68,7 @@
             shutil.copytree(ROOT / name, copy / name)
         shutil.copy(ROOT / "unittest.cfg", copy)
         for mutation in mutations:
-            result = _try(copy, mutation)
+            result = _apply(copy, mutation)
             results.append(result)
             print(json.dumps({"guard": mutation.guard, "result": result}), flush=True)
     killed = results.count("killed")
--- a/bench/packet_capacity.py
+++ b/bench/packet_capacity.py
@@ -1,7 +1,7 @@
-"""What steering without a token costs: slopes over targets and flows, in one process.
+"""Measures the cost of steering flows without a token, within one process.
 
-``python -m bench.packet_capacity`` prints a JSON object. Processor time is the
-process's own; sockets are left out.
+``python -m bench.packet_capacity`` prints a JSON object. Costs are processor time
+without sockets, and memory.
 """
 
 import gc
@@ -30,7 +30,7 @@
 TARGETS = (5, 15, 50, 200)
 FLOWS = (0, 10_000, 20_000, 40_000)
 REPEATS = 2_000
-KNOWN_TARGETS = (200, 1_000, 5_000)
+TABLE_SIZES = (200, 1_000, 5_000)
 CODEC = PlatformPackets()
 FRAMES = FrameCodec(keys=KeyRing(keys=(Key(id=1, secret=b"k" * 32),)))
 DRAW = random.Random(1)
@@ -85,12 +85,12 @@
 
 
 def _micros(run: Callable[[int], None], count: int) -> float:
-    """Return processor microseconds for each of ``count`` runs."""
+    """Return the mean processor time of ``count`` calls in microseconds."""
     gc.collect()
-    began = time.process_time()
+    started_at = time.process_time()
     for number in range(count):
         run(number)
-    return (time.process_time() - began) / count * 1e6
+    return (time.process_time() - started_at) / count * 1e6
 
 
 def _encode(actions: list) -> None:
@@ -99,13 +99,13 @@
             FRAMES.encode(action.frame)
 
 
-def passed_packet() -> float:
-    """Return the cost of a packet of a known flow: read, decide, write."""
+def forwarded_packet() -> float:
+    """Return a balancer's cost of a packet of an open flow in microseconds."""
     steering, _ = _steering(15)
     flow = _packet(_raw(1)).flow
     load = LoadReport(number=2, condition=Condition.SERVING)
-    held = Held(flow=flow, agent="side-brum-a-3", load=load, is_open=True)
-    steering.from_process(held, None, sender=("", 0), now=100.0, draw=DRAW)
+    owned = Held(flow=flow, agent="side-brum-a-3", load=load, is_open=True)
+    steering.from_process(owned, None, sender=("", 0), now=100.0, draw=DRAW)
     raw = _raw(1)
 
     def run(_: int) -> None:
@@ -116,7 +116,7 @@
 
 
 def new_flow(targets: int) -> float:
-    """Return the cost of a SYN: read, compare all targets, write."""
+    """Return a balancer's cost of a SYN in microseconds."""
     steering, _ = _steering(targets)
     raws = [_raw(number, SYN) for number in range(REPEATS)]
 
@@ -127,7 +127,7 @@
 
 
 def load_report(targets: int) -> float:
-    """Return the cost of a load report with that many targets known."""
+    """Return a balancer's cost of a load report in microseconds."""
     steering, _ = _steering(targets)
     load = LoadReport(number=0, in_flight=1, condition=Condition.SERVING)
     data = [
@@ -145,7 +145,7 @@
 
 
 def bytes_a_flow() -> dict[int, int]:
-    """Return a balancer's memory for so many remembered flows."""
+    """Return a balancer's memory in bytes by the number of flows."""
     found = {}
     for flows in FLOWS:
         steering, _ = _steering(15)
@@ -154,55 +154,55 @@
         for number in range(flows):
             flow = number.to_bytes(12, "big")
             load = LoadReport(number=number + 2, condition=Condition.SERVING)
-            held = Held(flow=flow, agent="side-brum-a-3", load=load, is_open=True)
-            steering.from_process(held, None, sender=("", 0), now=100.0, draw=DRAW)
+            owned = Held(flow=flow, agent="side-brum-a-3", load=load, is_open=True)
+            steering.from_process(owned, None, sender=("", 0), now=100.0, draw=DRAW)
         found[flows] = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
     return found
 
 
 def bytes_a_target() -> dict[int, int]:
-    """Return a balancer's memory for so many known targets."""
+    """Return a balancer's memory in bytes by the number of targets."""
     found = {}
-    for targets in KNOWN_TARGETS:
+    for targets in TABLE_SIZES:
         gc.collect()
         tracemalloc.start()
-        kept = _steering(targets)
+        measured = _steering(targets)
         found[targets] = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
-        del kept
+        del measured
     return found
 
 
 def agent_packet() -> float:
-    """Return an agent's cost of a caller's packet of an open flow."""
-    holder = PacketHolder(
+    """Return an agent's cost of a packet of an open flow in microseconds."""
+    owner = PacketHolder(
         name="a", service="maps", slots=2, connections=9, log=DecisionLog("bench")
     )
     raw = _raw(1)
-    answer = Segment(
+    response = Segment(
         flags=ACK, source=SERVICE, destination=("100.64.0.7", 10_001), data=b"y"
     ).encode()
-    decoded = CODEC.decode(answer, from_target=True)
+    decoded = CODEC.decode(response, from_target=True)
     assert isinstance(decoded, Packet)
-    holder.from_target(decoded, now=1.0)
+    owner.from_target(decoded, now=1.0)
     data = FRAMES.encode(Carry(service="maps", payload=raw))
 
     def run(_: int) -> None:
         frame = FRAMES.decode(data)
         packet = _packet(frame.payload)
-        holder.from_balancer(frame, packet, sender=("10.0.0.1", 1), now=1.0)
+        owner.from_balancer(frame, packet, sender=("10.0.0.1", 1), now=1.0)
 
     return _micros(run, 20_000)
 
 
 def main() -> int:
-    """Measure and print."""
+    """Run all measurements and print them."""
     configure_logs(level="error")
     print(
         json.dumps(
             {
-                "passed_packet_us": round(passed_packet(), 1),
+                "passed_packet_us": round(forwarded_packet(), 1),
                 "agent_packet_us": round(agent_packet(), 1),
                 "new_flow_us_by_targets": {n: round(new_flow(n)) for n in TARGETS},
                 "load_report_us": round(load_report(50), 1),
--- a/bench/packet_demo.py
+++ b/bench/packet_demo.py
@@ -1,4 +1,4 @@
-"""The demo of flows without a token: all of a deployment is replaced under load."""
+"""The part of the demo with flows without a token."""
 
 import asyncio
 import signal
@@ -15,27 +15,31 @@
 MAPS = 4
 LOGS = 2
 STEADY_SECONDS = 2.0
-NARROW, NARROW_MEGABITS = "lb-2", 5.0  # an entry VM with a small link
-LEAVE_SECONDS = 2.0  # a leaving target's flows close after their next answer
+NARROW, NARROW_MEGABITS = "lb-2", 5.0  # a balancer with a slow link
+DRAIN_SECONDS = 2.0  # a draining target closes flows after their next response
 
 
 async def run_packet_demo(say: Callable[[str], None]) -> dict:
-    """Return what callers and targets saw, by name; all but requests must be 0."""
+    """Run it; return counts by name, of which all but requests must be 0.
+
+    Args:
+        say: Reports progress.
+    """
     async with PacketDeployment(net=NET, seed=1) as deployment:
         await _start(deployment)
         load = PacketLoad(deployment=deployment, seed=2)
         load.start(readers=20, writers=6, uploaders=2)
         say(f"the link of {NARROW} carries {NARROW_MEGABITS:g} Mbit/s")
-        say("20 callers with long flows, 6 with a flow a request, 2 upload")
+        say("20 callers with long flows, 6 with a flow per request, 2 upload")
         await asyncio.sleep(STEADY_SECONDS)
         say("all balancers and all map targets are replaced")
         await asyncio.gather(_replace_balancers(deployment), _replace_maps(deployment))
-        say("the store goes away, and all agents and balancers are killed but one")
+        say("the store fails; all balancers but one and the map agents are killed")
         await _kill(deployment)
         await asyncio.sleep(STEADY_SECONDS)
-        verdict = await load.stop()
+        result = await load.stop()
         say(f"{dict(load.counts)} {dict(load.reasons)}")
-        return asdict(verdict) | {"is_clean": verdict.is_clean}
+        return asdict(result) | {"is_clean": result.is_clean}
 
 
 async def _start(deployment: PacketDeployment) -> None:
@@ -70,7 +74,7 @@
     for n in range(1, MAPS + 1):
         await deployment.start_pair(f"maps-{n + MAPS}", "maps")
         deployment.targets_by_name[f"maps-{n}"].is_draining = True
-        await asyncio.sleep(LEAVE_SECONDS)
+        await asyncio.sleep(DRAIN_SECONDS)
         await deployment.stop_target(f"maps-{n}")
         await deployment.nodes_by_name[f"maps-{n}"].stop()
 
--- a/bench/packet_placement.py
+++ b/bench/packet_placement.py
@@ -1,7 +1,6 @@
-"""Placement of flows without a token against other policies, in simulated time.
+"""Compares the placement of flows without a token with other policies.
 
-All policies see the same arrivals, run times and failures, so their figures compare
-within one run; the worlds are the loads of the users' sites in small.
+The policies run in simulations with the same arrivals, service times and failures.
 """
 
 import itertools
@@ -37,13 +36,13 @@
 
 def _random(simulation, query, candidates, draw):
     left = _untried(query, candidates)
-    return Chosen(record=draw.choice(left).record) if left else _nobody()
+    return Chosen(record=draw.choice(left).record) if left else _no_target()
 
 
 def _least_of_two(simulation, query, candidates, draw):
     left = _untried(query, candidates)
     if not left:
-        return _nobody()
+        return _no_target()
     drawn = draw.sample(left, min(2, len(left)))
     return Chosen(record=min(drawn, key=lambda c: c.work + c.sent_since).record)
 
@@ -54,17 +53,19 @@
     def choose(simulation, query, candidates, draw):
         left = _untried(query, candidates)
         return (
-            Chosen(record=left[next(turns) % len(left)].record) if left else _nobody()
+            Chosen(record=left[next(turns) % len(left)].record)
+            if left
+            else _no_target()
         )
 
     return choose
 
 
 def _full_knowledge(simulation, query, candidates, draw):
-    """Look into the targets themselves; knows what nobody can know in time."""
+    """Choose by the current state of the targets, which no real balancer can know."""
     left = _untried(query, candidates)
     if not left:
-        return _nobody()
+        return _no_target()
 
     def cost(candidate: Candidate) -> float:
         number = int(candidate.record.name.rpartition("-")[2])
@@ -79,12 +80,12 @@
     return Chosen(record=min(left, key=cost).record)
 
 
-def _nobody() -> NoTarget:
+def _no_target() -> NoTarget:
     return NoTarget(reason="all tried", retry_after=0.1)
 
 
 def simulate(world: World, policy: str):
-    """Return the outcome of a policy in a world."""
+    """Simulate a policy with the parameters in ``world``; return the results."""
     match policy:
         case "product":
             return Simulation(world).run()
@@ -92,12 +93,12 @@
             return Simulation(world, sees_failures=False).run()
         case "full knowledge":
             return Simulation(world, choose=_full_knowledge).run()
-    chooses_by_name = {
+    choose_by_policy = {
         "random": _random,
         "least of two": _least_of_two,
         "round robin": _round_robin(),
     }
-    return Simulation(world, choose=chooses_by_name[policy], refuses=False).run()
+    return Simulation(world, choose=choose_by_policy[policy], refuses=False).run()
 
 
 POLICIES = (
@@ -111,7 +112,7 @@
 
 
 def packet_placement() -> Iterator[dict]:
-    """Yield a figure for each world and policy."""
+    """Yield the results of each simulation and policy."""
     for name, world in WORLDS_BY_NAME.items():
         for policy in POLICIES:
             outcome = simulate(world, policy)
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,4 +1,4 @@
-"""Steering and placement on the pure decisions, against naive versions."""
+"""Compares steering and placement with simpler policies, in simulations."""
 
 import heapq
 import itertools
@@ -60,25 +60,25 @@
 
 
 def _hashed(flow: bytes, hosts: list[int]) -> int:
-    """The naive steering: hash of the flow over the balancer's own table."""
+    """Steer by a hash of the flow over a balancer's own list of targets."""
     number = int.from_bytes(blake2b(flow, digest_size=8).digest(), "big")
     return hosts[number % len(hosts)]
 
 
 def broken_flows() -> Iterator[dict]:
-    """Replace all balancers and targets; count flows that lost their holder.
+    """Yield how many flows have misdirected packets in a rolling replacement.
 
-    Each step adds a target, takes one away and replaces a balancer; each
-    balancer learns of it a step later with probability one half. A holder
-    that leaves asks its flows to move first, for both versions alike, so
-    only packets that reach a wrong target count.
+    Each step adds a target, removes one and replaces a balancer. Each balancer's
+    list is stale for a step with probability one half. Flows of a removed target
+    move to another one beforehand in both versions, so only packets that reach
+    the wrong target count.
     """
     draw = random.Random(11)
     hosts = list(range(1, TARGETS + 1))
     tables = [list(hosts) for _ in range(BALANCERS)]
     balancers = [_balancer(n) for n in range(BALANCERS)]
     flows = [draw.randbytes(16) for _ in range(FLOWS)]
-    holder = {flow: _hashed(flow, hosts) for flow in flows}
+    owner = {flow: _hashed(flow, hosts) for flow in flows}
     broken: dict[str, set] = {"product": set(), "naive hash": set()}
     for step in range(TARGETS):
         hosts = [*hosts[1:], TARGETS + 1 + step]
@@ -86,13 +86,14 @@
         tables = [hosts if draw.random() < 0.5 else table for table in tables]
         tables[step % BALANCERS] = hosts
         for flow in flows:
-            if holder[flow] not in hosts:
-                holder[flow] = draw.choice(hosts)  # moved, make before break
+            if owner[flow] not in hosts:
+                # The flow moves before its target is removed.
+                owner[flow] = draw.choice(hosts)
                 broken["naive hash"].discard(flow)
             at = draw.randrange(BALANCERS)
-            if _hashed(flow, tables[at]) != holder[flow]:
+            if _hashed(flow, tables[at]) != owner[flow]:
                 broken["naive hash"].add(flow)
-            if _steered(balancers[at], flow, holder[flow], draw) != holder[flow]:
+            if _steered(balancers[at], flow, owner[flow], draw) != owner[flow]:
                 broken["product"].add(flow)
     for version, lost in broken.items():
         yield {
@@ -104,7 +105,7 @@
 
 
 def _steered(balancer: Balancer, flow: bytes, host: int, draw: random.Random) -> int:
-    """Send a packet through the product's own decision; return its target."""
+    """Return the target to which monsoonpier steers a packet, 0 if it is dropped."""
     token = HolderToken(
         service="maps", ip=f"10.1.0.{host}", port=9000, instance=bytes([host]) * 8
     )
@@ -118,7 +119,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Host:
-    """A target that runs its queue on its slots."""
+    """A simulated target with slots and a queue."""
 
     record: TargetRecord
     speed: float = 1.0
@@ -133,25 +134,25 @@
     reports: int = 0
 
     def count(self, now: float) -> None:
-        """Add up work in progress over time."""
+        """Add the work in progress since the last call to ``area``."""
         self.area += (self.running + len(self.queue)) * (now - self.changed_at)
         self.changed_at = now
 
     def capacity(self) -> float:
-        """Share of a usual target's work over the whole run."""
+        """Return the capacity relative to a normal target, over the whole run."""
         if self.cold:
             return 1 - 0.75 * COLD_SECONDS / 2 / RUN_SECONDS
         return self.speed
 
     def seconds(self, now: float, draw: random.Random) -> float:
-        """Draw how long a run takes now."""
+        """Draw the service time of a run that starts now."""
         speed = self.speed
         if self.cold:
             speed = min(1.0, 0.25 + 0.75 * now / COLD_SECONDS)
         return draw.expovariate(1 / WORK_SECONDS) / speed
 
     def report(self, now: float) -> LoadReport:
-        """Return the load as its agent would report it."""
+        """Return the load report that its agent would send."""
         self.reports += 1
         age = now if self.cold else 60.0
         return LoadReport(
@@ -166,7 +167,7 @@
 
 
 class _Experiment:
-    """One run: open arrivals, one request a flow, several balancers."""
+    """A simulation with open arrivals, a flow per request and several balancers."""
 
     def __init__(self, *, policy: str, scenario: str, seed: int) -> None:
         self._policy = policy
@@ -185,11 +186,11 @@
         ]
 
     def run(self) -> None:
-        """Play the whole run."""
+        """Run the simulation."""
         rate = UTILISATION * SLOTS / WORK_SECONDS * sum(h.speed for h in self.hosts)
         self._push(0.0, self._arrive, rate)
         for host in self.hosts:
-            self._push(self._draw.random(), self._beat, host)
+            self._push(self._draw.random(), self._send_heartbeat, host)
         while self._events and self._events[0][0] < RUN_SECONDS:
             now, _, call, argument = heapq.heappop(self._events)
             call(argument, now)
@@ -208,9 +209,9 @@
         host.count(now)
         host.flows += 1
         host.queue.append(now)
-        self._work(host, at, now)
+        self._start_next(host, at, now)
 
-    def _work(self, host: _Host, at: int, now: float) -> None:
+    def _start_next(self, host: _Host, at: int, now: float) -> None:
         if host.queue and host.running < SLOTS:
             host.queue.pop(0)
             host.running += 1
@@ -224,14 +225,14 @@
         host.flows -= 1
         host.done += 1
         host.service += 0.2 * (seconds - host.service) if host.service else seconds
-        # Load rides on the reply, through the balancer that passed it.
+        # The reply carries a load report to the balancer that forwards it.
         self._views[at][host.record.name] = (host.report(now), 0)
-        self._work(host, self._draw.randrange(BALANCERS), now)
+        self._start_next(host, self._draw.randrange(BALANCERS), now)
 
-    def _beat(self, host: _Host, now: float) -> None:
+    def _send_heartbeat(self, host: _Host, now: float) -> None:
         for view in self._views:
             view[host.record.name] = (host.report(now), 0)
-        self._push(now + HEARTBEAT_SECONDS, self._beat, host)
+        self._push(now + HEARTBEAT_SECONDS, self._send_heartbeat, host)
 
     def _pick(self, at: int) -> _Host:
         match self._policy:
@@ -266,7 +267,7 @@
 
 
 def imbalance() -> Iterator[dict]:
-    """Largest over mean of work in progress, and of completed work per capacity."""
+    """Yield maximum over mean of work in progress and of work done per capacity."""
     policies = ("random", "round robin", "product", "full knowledge")
     for scenario in ("equal", "one slow", "one cold"):
         for policy in policies:
@@ -275,8 +276,8 @@
                 experiment = _Experiment(policy=policy, scenario=scenario, seed=seed)
                 experiment.run()
                 hosts = experiment.hosts
-                progress.append(_excess([h.area for h in hosts]))
-                completed.append(_excess([h.done / h.capacity() for h in hosts]))
+                progress.append(_max_over_mean([h.area for h in hosts]))
+                completed.append(_max_over_mean([h.done / h.capacity() for h in hosts]))
             yield {
                 "figure": "imbalance",
                 "scenario": scenario,
@@ -286,5 +287,5 @@
             }
 
 
-def _excess(values: list[float]) -> float:
+def _max_over_mean(values: list[float]) -> float:
     return max(values) / (sum(values) / len(values))
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,4 +1,4 @@
-"""``make plots``: pictures of the kept figures, beside them in docs/figures."""
+"""Plots the results in docs/figures (``make plots``)."""
 
 import json
 from pathlib import Path
@@ -6,7 +6,7 @@
 import matplotlib
 
 matplotlib.use("Agg")
-from matplotlib import pyplot  # noqa: E402  (the backend is chosen first)
+from matplotlib import pyplot  # noqa: E402  (after the choice of backend)
 
 FOLDER = Path(__file__).parent.parent / "docs" / "figures"
 SLOPES = (
--- a/bench/probe.py
+++ b/bench/probe.py
@@ -1,4 +1,4 @@
-"""What a capacity measurement needs: processes' costs, and fake peers."""
+"""Helpers for capacity measurements: costs of processes, simulated agents."""
 
 import asyncio
 import os
@@ -13,7 +13,7 @@
 from monsoonpier.wire.frames import Announce, FrameCodec, Heartbeat
 from standins.deployment import KEYS as DEPLOYMENT_KEYS
 
-__all__ = ["KEYRING", "Cost", "FakeAgents", "breathe", "fit", "read_cost"]
+__all__ = ["KEYRING", "Cost", "FakeAgents", "pause_after_burst", "fit", "read_cost"]
 
 KEYRING = KeyRing(
     keys=tuple(
@@ -23,23 +23,23 @@
 )
 TICKS = os.sysconf("SC_CLK_TCK")
 PAGE_KIB = os.sysconf("SC_PAGE_SIZE") // 1024
-BURST = 32  # datagrams sent before the receiver gets a chance to run
+BURST = 32  # datagrams sent between two pauses
 ANNOUNCE_BURST = 8
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Cost:
-    """Processor seconds used so far, and resident memory in KiB."""
+    """Processor seconds used since start, and resident memory in KiB."""
 
     seconds: float
     resident_kib: int
 
 
 def read_cost(pid: int) -> Cost:
-    """Return a process's cost from the kernel's own accounting.
+    """Return a process's cost as the kernel accounts for it.
 
-    Processor time comes from ``schedstat``, in nanoseconds; ticks of 10 ms
-    would drown what is measured here.
+    Processor time is read from ``schedstat``, in nanoseconds; the ticks of
+    ``stat`` are too coarse.
     """
     seconds = sum(
         int((task / "schedstat").read_text().split()[0]) / 1e9
@@ -50,7 +50,7 @@
 
 
 def fit(points: list[tuple[float, float]]) -> dict:
-    """Return slope and intercept of a straight line, and the slope's error."""
+    """Fit a straight line; return slope, its standard error, and intercept."""
     xs, ys = numpy.array(points, dtype=float).T
     (slope, intercept), covariance = numpy.polyfit(xs, ys, 1, cov="unscaled")
     residuals = ys - (slope * xs + intercept)
@@ -64,7 +64,7 @@
 
 
 class FakeAgents:
-    """Speaks for many agents from one socket."""
+    """Simulates many agents on one socket."""
 
     def __init__(self, *, ip: str, service: str = "maps") -> None:
         self._ip = ip
@@ -74,14 +74,14 @@
         self.received = 0
 
     async def start(self) -> None:
-        """Open the socket that all of them share."""
+        """Open the shared socket."""
         self.socket = await open_udp(self._count, ip=self._ip, port=0)
 
     def _count(self, data: bytes, sender) -> None:
         self.received += 1
 
     def record(self, number: int) -> TargetRecord:
-        """Return the record of one of them."""
+        """Return an agent's target record."""
         service = self._service
         return TargetRecord(
             name=f"{service}-fake-{number:05d}",
@@ -98,15 +98,15 @@
         )
 
     async def announce(self, numbers: range, to: tuple[str, int]) -> None:
-        """Announce that many to a balancer, with a heartbeat each."""
+        """Announce agents to a balancer and send a heartbeat of each."""
         for number in numbers:
             record = self.record(number)
             self.socket.send(self._codec.encode(Announce(record=record)), to)
             self.beat(number, to)
-            await breathe(number, burst=ANNOUNCE_BURST)
+            await pause_after_burst(number, burst=ANNOUNCE_BURST)
 
     def beat(self, number: int, to: tuple[str, int], *, report: int = 1) -> None:
-        """Send one heartbeat."""
+        """Send a heartbeat of one agent."""
         record = self.record(number)
         load = LoadReport(
             number=report, service_ms=20, age_ms=60_000, condition=Condition.SERVING
@@ -117,7 +117,7 @@
         self.socket.send(self._codec.encode(frame), to)
 
 
-async def breathe(number: int, *, burst: int = BURST) -> None:
-    """Let the other side keep up, so that its buffer isn't overrun."""
+async def pause_after_burst(number: int, *, burst: int = BURST) -> None:
+    """Sleep after each burst, so that the receiver's buffer does not overflow."""
     if number % burst == 0:
         await asyncio.sleep(0.002)
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,4 +1,4 @@
-"""A bare uvloop relay: what a passed packet costs at the least."""
+"""A minimal datagram relay, the baseline for the cost of a forwarded packet."""
 
 import asyncio
 import sys
@@ -9,7 +9,7 @@
 
 
 class _Relay(asyncio.DatagramProtocol):
-    """Sends every datagram on to one address."""
+    """Forwards every datagram to one address."""
 
     def __init__(self, to: tuple[str, int]) -> None:
         self._to = to
--- a/bench/running.py
+++ b/bench/running.py
@@ -1,4 +1,4 @@
-"""Measurements on running processes: goodput, leaving, silence, configuration."""
+"""Measurements on a running deployment: goodput, shutdown, configuration."""
 
 import asyncio
 import re
@@ -48,18 +48,18 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Tally:
-    good: int = 0
-    asked: int = 0
-    refusal_ms: list[float] = field(default_factory=list)
-    tries: int = 0
+class _Counts:
+    good: int = 0  # requests with a response
+    requests: int = 0
+    rejection_ms: list[float] = field(default_factory=list)
+    attempts: int = 0
 
 
-async def _offer(
+async def _send_at_rate(
     deployment: Deployment, times: float, budget: RetryBudget | None
-) -> _Tally:
-    """Offer requests at a fixed rate, whatever becomes of them."""
-    tally = _Tally()
+) -> _Counts:
+    """Send requests at a fixed rate, regardless of their outcomes."""
+    counts = _Counts()
     callers = [
         Caller(
             deployment.address("maps"), budget=budget or RetryBudget(left=0, share=0)
@@ -69,36 +69,36 @@
     await asyncio.gather(*(caller.start() for caller in callers))
     rate = CAPACITY * times
     tasks = []
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     for number in range(int(rate * GOODPUT_SECONDS)):
-        wait = began + number / rate - asyncio.get_running_loop().time()
+        wait = started_at + number / rate - asyncio.get_running_loop().time()
         if wait > 0:
             await asyncio.sleep(wait)
         caller = callers[number % CALLERS]
-        tasks.append(asyncio.create_task(_ask(caller, number, tally)))
+        tasks.append(asyncio.create_task(_send(caller, number, counts)))
     await asyncio.gather(*tasks)
     for caller in callers:
-        tally.tries += caller.counts["retries"]
+        counts.attempts += caller.counts["retries"]
         await caller.close()
-    tally.tries += tally.asked
-    return tally
+    counts.attempts += counts.requests
+    return counts
 
 
-async def _ask(caller: Caller, number: int, tally: _Tally) -> None:
-    began = time.monotonic()
-    tally.asked += 1
+async def _send(caller: Caller, number: int, counts: _Counts) -> None:
+    started_at = time.monotonic()
+    counts.requests += 1
     outcome = await caller.request(
         "top-up", b"maps %d answer=0\n" % number, deadline=DEADLINE_SECONDS
     )
     match outcome:
         case Done():
-            tally.good += 1
+            counts.good += 1
         case NotRun(reason="overloaded" | "would be late") | Refused():
-            tally.refusal_ms.append((time.monotonic() - began) * 1000)
+            counts.rejection_ms.append((time.monotonic() - started_at) * 1000)
 
 
 async def goodput() -> AsyncIterator[dict]:
-    """Answers a second at 1, 2 and 4 times the slots' capacity."""
+    """Yield the rate of responses at 1, 2 and 4 times the slots' capacity."""
     options = (f"--work-seconds={WORK_SECONDS}",)
     deployment = await _start("127.84.1", maps=TARGETS, options=options)
     try:
@@ -109,18 +109,18 @@
         ):
             base = 0.0
             for times in (1, 2, 4):
-                tally = await _offer(deployment, times, budget)
-                rate = tally.good / GOODPUT_SECONDS
+                counts = await _send_at_rate(deployment, times, budget)
+                rate = counts.good / GOODPUT_SECONDS
                 base = base or rate
-                waits = sorted(tally.refusal_ms) or [0.0]
+                waits = sorted(counts.rejection_ms) or [0.0]
                 yield {
                     "figure": "goodput",
                     "version": name,
                     "times": times,
                     "answers_per_second": round(rate, 1),
                     "share_of_1x": round(rate / base, 3),
-                    "tries_per_request": round(tally.tries / tally.asked, 2),
-                    "refusals": len(tally.refusal_ms),
+                    "tries_per_request": round(counts.attempts / counts.requests, 2),
+                    "refusals": len(counts.rejection_ms),
                     "refusal_ms_median": round(statistics.median(waits), 1),
                     "refusal_ms_p99": round(waits[int(len(waits) * 0.99)], 1),
                 }
@@ -130,18 +130,18 @@
 
 
 async def leaving_and_silence() -> AsyncIterator[dict]:
-    """A drained target's last new work; silences when parts die or leave."""
+    """Yield gaps in streams when a target drains and a balancer is killed."""
     deployment = await _start("127.84.2")
     try:
         load = Load(maps=deployment.address("maps"), logs=deployment.address("logs"))
         load.start(streams=30, readers=15, uploaders=0, pause=0.03)
         await asyncio.sleep(2.0)
-        yield _silence("undisturbed", load)
+        yield _longest_gap("undisturbed", load)
         drained_at = time.time()
         await deployment.operate("drain", "maps-1")
         status = await deployment.nodes_by_name["maps-1"].wait()
         await asyncio.sleep(1.0)
-        yield _silence("target drained", load)
+        yield _longest_gap("target drained", load)
         late = [
             run["at"] - drained_at
             for run in deployment.runs()
@@ -149,22 +149,22 @@
         ]
         deployment.nodes_by_name["b1"].signal(signal.SIGKILL)
         await asyncio.sleep(4.0)
-        yield _silence("balancer killed", load)
+        yield _longest_gap("balancer killed", load)
         await load.stop()
-        judgement = judge(load, deployment.runs())
+        result = judge(load, deployment.runs())
         yield {
             "figure": "leaving_target",
             "last_new_work_seconds": round(max(late), 2),
             "exit_status": status,
-            "requests_cut": judgement.lost_answers,
-            "broken_flows": judgement.broken_flows,
-            "requests": judgement.requests,
+            "requests_cut": result.lost_answers,
+            "broken_flows": result.broken_flows,
+            "requests": result.requests,
         }
     finally:
         await deployment.__aexit__()
 
 
-def _silence(what: str, load: Load) -> dict:
+def _longest_gap(what: str, load: Load) -> dict:
     longest = max(stream.longest_silence for stream in load.streams)
     for stream in load.streams:
         stream.longest_silence = 0.0
@@ -177,38 +177,40 @@
 
 
 async def configuration() -> AsyncIterator[dict]:
-    """From apply to in force on all balancers, with and without an outage."""
+    """Yield the time until all balancers use a change, also with a platform outage."""
     deployment = await _start("127.84.3", maps=1)
     try:
         seconds = [await _apply(deployment, n) for n in range(CHANGES)]
-        yield _spread("configuration_in_force", "platform well", seconds)
+        yield _in_force_figure("configuration_in_force", "platform well", seconds)
         seconds = []
         for number in range(5):
-            began = time.monotonic()
+            started_at = time.monotonic()
             applying = asyncio.create_task(_apply(deployment, 50 + number))
             await asyncio.sleep(0.35)
             await deployment.fault(deployment.platform_url, down=True)
             await asyncio.sleep(1.0)
             await deployment.fault(deployment.platform_url, down=False)
             await applying
-            seconds.append(time.monotonic() - began)
-        yield _spread("configuration_in_force", "platform down 1 s, whole", seconds)
+            seconds.append(time.monotonic() - started_at)
+        yield _in_force_figure(
+            "configuration_in_force", "platform down 1 s, whole", seconds
+        )
     finally:
         await deployment.__aexit__()
 
 
 async def _apply(deployment: Deployment, number: int) -> float:
-    """Apply a change; try again as a person would if the platform was down."""
+    """Apply a change; retry while the platform is down."""
     folder = deployment.write_services(queue_per_slot=number + 1)
     for _ in range(20):
         status, out, _ = await deployment.operate("apply", str(folder), "--wait")
         if status == 0:
             return float(re.search(r"after ([0-9.]+) s", out)[1])
         await asyncio.sleep(0.2)
-    raise RuntimeError("not accepted")
+    raise RuntimeError("the configuration could not be applied")
 
 
-def _spread(figure: str, case: str, seconds: list[float]) -> dict:
+def _in_force_figure(figure: str, case: str, seconds: list[float]) -> dict:
     return {
         "figure": figure,
         "case": case,
@@ -219,20 +221,20 @@
 
 
 async def control_bytes() -> AsyncIterator[dict]:
-    """Control bytes a second per process, idle and while targets are replaced."""
+    """Yield the rate of control bytes per process, idle and during a rollout."""
     deployment = await _start("127.84.4", maps=10)
     try:
         names = ["b1", "b2", "b3", "maps-9", "maps-10"]
         before = await _control(deployment, names)
         await asyncio.sleep(IDLE_SECONDS)
         after = await _control(deployment, names)
-        yield _rates("idle", before, after, IDLE_SECONDS)
-        began = time.monotonic()
+        yield _rate_figure("idle", before, after, IDLE_SECONDS)
+        started_at = time.monotonic()
         for number in range(1, 6):
             await deployment.start_pair(f"maps-{10 + number}", "maps")
             await deployment.retire_pair(f"maps-{number}")
-        seconds = time.monotonic() - began
-        yield _rates("rollout", after, await _control(deployment, names), seconds)
+        seconds = time.monotonic() - started_at
+        yield _rate_figure("rollout", after, await _control(deployment, names), seconds)
     finally:
         await deployment.__aexit__()
 
@@ -246,7 +248,7 @@
     return totals
 
 
-def _rates(case: str, before: dict, after: dict, seconds: float) -> dict:
+def _rate_figure(case: str, before: dict, after: dict, seconds: float) -> dict:
     rates = {n: (after[n] - before[n]) / seconds for n in before}
     return {
         "figure": "control_bytes_per_second",
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,7 +1,7 @@
-"""A randomized soak: real processes under load, faults from outside, promises checked.
+"""A randomized soak test: real processes under load, with injected faults.
 
-``python -m bench.soak --seeds 50`` runs fresh seeds, ``--replay SEED`` one again. A
-seed fixes the plan; when exactly a signal meets a packet is the machine's doing.
+``python -m bench.soak --seeds 50`` runs random seeds, ``--replay SEED`` repeats one. A
+seed determines the plan of faults, but not their exact timing against packets.
 """
 
 import asyncio
@@ -18,26 +18,26 @@
 from cyclopts import App, Parameter
 
 from standins.packets.deployment import PacketDeployment
-from standins.packets.load import PacketLoad, Verdict
+from standins.packets.load import PacketLoad, PacketLoadResult
 
 __all__ = ["Plan", "Report", "make_plan", "run_seed"]
 
 BALANCERS = 3
 MAPS = 4
 LOGS = 2
-RECOVERY_SECONDS = 6.0  # twice the time after which a silent target is suspected
-DELAY_SECONDS = 0.15  # of a link; half a heartbeat's patience
+RECOVERY_SECONDS = 6.0  # twice the time until a silent target is suspected
+DELAY_SECONDS = 0.15  # of a slow link; half the timeout of a heartbeat
 LOSS_SHARE = 0.1
 MAX_CLOCK_STEP_SECONDS = 60.0
-EDITION = 2  # of plans: 1 had processes and the store only, 2 has links and clocks
-CONFIG_SECONDS = 3.0  # a new configuration is in force everywhere by then
-NETS = 200  # loopback nets that seeds are spread over
+EDITION = 2  # 1: faults of processes and the store; 2: also of links and clocks
+CONFIG_SECONDS = 3.0  # time for all balancers to apply a configuration
+NETS = 200  # loopback networks, chosen by seed
 app = App(name="soak", help=__doc__)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Step:
-    """One fault: when it begins, what it is, whom it meets, how long it lasts."""
+    """A fault of ``subject`` from ``at`` on, for ``seconds``."""
 
     at: float
     kind: str
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
-    """What a seed stands for."""
+    """The faults of a seed."""
 
     seed: int
     edition: int
@@ -56,17 +56,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Report:
-    """What a seed led to; ``broken`` names the promises that were not kept."""
+    """The result of a seed; ``broken`` names the violated guarantees."""
 
     plan: Plan
-    verdict: Verdict
+    verdict: PacketLoadResult
     broken: tuple[str, ...]
     reasons: dict[str, int]
     timeline: tuple[str, ...]
 
 
 def make_plan(seed: int, *, seconds: float, edition: int = EDITION) -> Plan:
-    """Return a seed's faults over that time; some overlap."""
+    """Return a seed's faults over ``seconds``; they may overlap."""
     draw = random.Random(seed)
     subjects_by_kind = _subjects_by_kind(edition)
     steps = []
@@ -121,13 +121,13 @@
     timeline: list[str] = field(default_factory=list)
     _busy: set[str] = field(default_factory=set)
 
-    async def play(self, plan: Plan) -> None:
-        """Play all steps, each at its time; they may overlap."""
+    async def inject(self, plan: Plan) -> None:
+        """Inject all faults, each at its time."""
         async with asyncio.TaskGroup() as group:
             for step in plan.steps:
-                group.create_task(self._play_step(step))
+                group.create_task(self._inject_step(step))
 
-    async def _play_step(self, step: Step) -> None:
+    async def _inject_step(self, step: Step) -> None:
         await asyncio.sleep(step.at)
         handlers: dict[str, Callable[[Step], Awaitable[None]]] = {
             "kill": self._kill,
@@ -137,27 +137,27 @@
             "configure": self._configure,
             "kill_all": self._kill_all,
             "clock_step": self._clock_step,
-            "hang_up": self._hang_up,
+            "hang_up": self._send_sighup,
         }
-        self._say(f"{step.kind} {step.subject} for {step.seconds:.1f} s")
+        self._log(f"{step.kind} {step.subject} for {step.seconds:.1f} s")
         if step.kind.startswith(("link", "target", "fabric")):
             await self._link_fault(step)
         else:
             await handlers.get(step.kind, self._store_fault)(step)
-        self._say(f"{step.kind} {step.subject} over")
+        self._log(f"{step.kind} {step.subject} over")
 
-    def _say(self, text: str) -> None:
+    def _log(self, text: str) -> None:
         self.timeline.append(f"{time.monotonic() - self.began:7.2f} {text}")
 
-    def _claim(self, name: str) -> bool:
-        """Tell whether no other step is at work on the process."""
+    def _reserve(self, name: str) -> bool:
+        """Reserve a process for a step; return whether no other step has it."""
         if name in self._busy:
             return False
         self._busy.add(name)
         return True
 
     async def _kill(self, step: Step) -> None:
-        if not self._claim(step.subject):
+        if not self._reserve(step.subject):
             return
         node = self.deployment.nodes_by_name[step.subject]
         node.signal(signal.SIGKILL)
@@ -166,12 +166,12 @@
         await self._start(step.subject)
 
     async def _restart(self, step: Step) -> None:
-        if not self._claim(step.subject):
+        if not self._reserve(step.subject):
             return
         node = self.deployment.nodes_by_name[step.subject]
         node.signal(signal.SIGTERM)
         if step.subject.startswith("lb-"):
-            await asyncio.sleep(0.5)  # the fabric sees the probe fail
+            await asyncio.sleep(0.5)  # until the fabric's health check fails
             self.deployment.rotate(step.subject, out=True)
         await node.wait()
         await self._start(step.subject)
@@ -185,7 +185,7 @@
         self._busy.discard(name)
 
     async def _pause(self, step: Step) -> None:
-        if not self._claim(step.subject):
+        if not self._reserve(step.subject):
             return
         node = self.deployment.nodes_by_name[step.subject]
         node.signal(signal.SIGSTOP)
@@ -194,7 +194,7 @@
         self._busy.discard(step.subject)
 
     async def _crash_target(self, step: Step) -> None:
-        if not self._claim(f"target {step.subject}"):
+        if not self._reserve(f"target {step.subject}"):
             return
         await self.deployment.stop_target(step.subject)
         await asyncio.sleep(step.seconds)
@@ -202,24 +202,24 @@
         self._busy.discard(f"target {step.subject}")
 
     async def _kill_all(self, step: Step) -> None:
-        names = [n for n in self.deployment.nodes_by_name if self._claim(n)]
+        names = [n for n in self.deployment.nodes_by_name if self._reserve(n)]
         nodes = [self.deployment.nodes_by_name[name] for name in names]
         for node in nodes:
             node.signal(signal.SIGKILL)
         await asyncio.gather(*(node.wait() for node in nodes))
         if self.deployment.store.faults.is_down or self.deployment.store.faults.status:
-            self._say("the store is away too: it comes back")
-            _mend(self.deployment.store.faults)
+            self._log("the store is down too: restoring it")
+            _clear_store_faults(self.deployment.store.faults)
         await asyncio.gather(*(self._start(name) for name in names))
 
     async def _clock_step(self, step: Step) -> None:
-        """Restart a process with another wall clock, ahead or behind."""
-        share = (step.seconds - 1.6) / 1.4  # -1 to 1, as the plan drew it
+        """Restart a process with its wall clock set ahead or back."""
+        share = (step.seconds - 1.6) / 1.4  # maps the drawn 0.2 to 3.0 to -1 to 1
         offsets_by_name = self.deployment.clock_offsets_by_name
         offsets_by_name[step.subject] = share * MAX_CLOCK_STEP_SECONDS
         await self._kill(step)
 
-    async def _hang_up(self, step: Step) -> None:
+    async def _send_sighup(self, step: Step) -> None:
         self.deployment.nodes_by_name[step.subject].signal(signal.SIGHUP)
 
     async def _link_fault(self, step: Step) -> None:
@@ -262,10 +262,10 @@
             case "store_compacts":
                 faults.is_compacted = True
         await asyncio.sleep(step.seconds)
-        _mend(faults)
+        _clear_store_faults(faults)
 
 
-def _mend(faults) -> None:
+def _clear_store_faults(faults) -> None:
     faults.is_down = False
     faults.status = 0
     faults.slow_seconds = 0.0
@@ -274,7 +274,7 @@
 
 
 async def run_seed(seed: int, *, seconds: float, edition: int = EDITION) -> Report:
-    """Run one seed and return what came of it."""
+    """Run one seed and return its report."""
     plan = make_plan(seed, seconds=seconds, edition=edition)
     net = f"127.90.{seed % NETS}"
     has_proxies = edition > 1
@@ -286,19 +286,19 @@
         load.start(readers=8, writers=4, uploaders=2)
         await asyncio.sleep(1.0)
         soak = _Soak(deployment=deployment)
-        await soak.play(plan)
-        _mend(deployment.store.faults)
+        await soak.inject(plan)
+        _clear_store_faults(deployment.store.faults)
         deployment.caller.faults.clear()
         for links in deployment.links_by_name.values():
             links.clear()
-        broken = await _recovers(deployment, load)
-        verdict = await load.stop()
-        broken += [name for name, count in _never(verdict).items() if count]
+        broken = await _check_recovery(deployment, load)
+        result = await load.stop()
+        broken += [name for name, count in _violations(result).items() if count]
         if broken:
-            soak.timeline += _log_ends(deployment)
+            soak.timeline += _relevant_log_lines(deployment)
         return Report(
             plan=plan,
-            verdict=verdict,
+            verdict=result,
             broken=tuple(broken),
             reasons=dict(load.reasons),
             timeline=tuple(soak.timeline),
@@ -318,8 +318,8 @@
     )
 
 
-async def _recovers(deployment: PacketDeployment, load: PacketLoad) -> list[str]:
-    """After the last fault all serves again, under the newest configuration."""
+async def _check_recovery(deployment: PacketDeployment, load: PacketLoad) -> list[str]:
+    """Check that requests succeed after the last fault; return what is violated."""
     await asyncio.sleep(RECOVERY_SECONDS)
     before = load.counts.copy()
     await asyncio.sleep(1.0)
@@ -331,19 +331,19 @@
     version = deployment.configure()
     await asyncio.sleep(CONFIG_SECONDS)
     for name in (f"lb-{n}" for n in range(1, BALANCERS + 1)):
-        held = await deployment.metric(name, "monsoonpier_configuration_version")
-        if held != version:
-            broken.append(f"{name} has version {held} in place of {version}")
+        applied = await deployment.metric(name, "monsoonpier_configuration_version")
+        if applied != version:
+            broken.append(f"{name} has version {applied} instead of {version}")
     return broken
 
 
-def _never(verdict: Verdict) -> dict[str, int]:
-    fields = asdict(verdict)
+def _violations(result: PacketLoadResult) -> dict[str, int]:
+    fields = asdict(result)
     return {k: v for k, v in fields.items() if k not in ("requests", "failed")}
 
 
-def _log_ends(deployment: PacketDeployment) -> list[str]:
-    """Return what explains a failure: resets, denials, conditions, from all logs."""
+def _relevant_log_lines(deployment: PacketDeployment) -> list[str]:
+    """Return the lines of all logs that help to explain a violation."""
     words = ("caller reset", "denie", "target", "state changed", "rror")
     return [
         f"{name}: {line}"
@@ -356,13 +356,15 @@
 @app.default
 def soak(
     *,
-    seeds: Annotated[int, Parameter(help="How many fresh seeds to run.")] = 10,
-    seconds: Annotated[float, Parameter(help="How long faults go on.")] = 10.0,
-    replay: Annotated[int | None, Parameter(help="Run this seed only.")] = None,
-    edition: Annotated[int, Parameter(help="Of plans; 1 is without links.")] = EDITION,
+    seeds: Annotated[int, Parameter(help="Number of random seeds to run.")] = 10,
+    seconds: Annotated[float, Parameter(help="Duration of faults in seconds.")] = 10.0,
+    replay: Annotated[int | None, Parameter(help="Repeat this seed only.")] = None,
+    edition: Annotated[
+        int, Parameter(help="Edition of plans; 1 has no faults of links.")
+    ] = EDITION,
 ) -> int:
-    """Run seeds and print a line for each; a broken promise prints its report."""
-    chosen = [replay] if replay is not None else _fresh(seeds)
+    """Run seeds; print a line for each, and a report if a guarantee is violated."""
+    chosen = [replay] if replay is not None else _random_seeds(seeds)
     failed = 0
     for number, seed in enumerate(chosen, start=1):
         report = uvloop.run(_run_one(seed, seconds=seconds, edition=edition))
@@ -380,14 +382,14 @@
 
 
 async def _run_one(seed: int, *, seconds: float, edition: int) -> Report:
-    """Run a seed; its processes end with it, also when it is terminated."""
+    """Run a seed; SIGTERM ends its processes too."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     return await run_seed(seed, seconds=seconds, edition=edition)
 
 
-def _fresh(count: int) -> list[int]:
+def _random_seeds(count: int) -> list[int]:
     draw = random.SystemRandom()
     return [draw.randrange(1_000_000) for _ in range(count)]
 
--- a/standins/load.py
+++ b/standins/load.py
@@ -14,7 +14,7 @@
     RetryBudget,
 )
 
-__all__ = ["Judgement", "Load", "judge"]
+__all__ = ["LoadResult", "Load", "judge"]
 
 FINISH_SECONDS = 30.0  # longer than any deadline set here
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Judgement:
+class LoadResult:
     """Counts from the records of callers and targets.
 
     Attributes:
@@ -84,7 +84,7 @@
         self._stop = asyncio.Event()
         self._tasks: list[asyncio.Task] = []
         self._number = 0
-        self.asked: list[RequestRecord] = []
+        self.requests: list[RequestRecord] = []
         self.streams: list[StreamRecord] = []
         self.counts: Counter[str] = Counter()
         self.errors: list[str] = []
@@ -101,9 +101,9 @@
     def troubles(self) -> Counter[str]:
         """Count outcomes other than `Done`, and faults of streams, by their text."""
         counts = Counter(
-            str(asked.outcome)
-            for asked in self.asked
-            if not isinstance(asked.outcome, Done)
+            str(request.outcome)
+            for request in self.requests
+            if not isinstance(request.outcome, Done)
         )
         for stream in self.streams:
             counts.update(f"stream: {fault}" for fault in stream.faults[:3])
@@ -139,7 +139,7 @@
         ):
             outcome = NotRun(reason="wrong answer", retry_after=-1)
             self.errors.append(f"wrong response to {tag}")
-        self.asked.append(
+        self.requests.append(
             RequestRecord(
                 tag=tag,
                 service=service,
@@ -183,16 +183,16 @@
             stream = caller.stream("map")
             stopping = asyncio.create_task(self._stop.wait())
             while not self._stop.is_set():
-                getting = asyncio.ensure_future(anext(stream))
+                next_item = asyncio.ensure_future(anext(stream))
                 await asyncio.wait(
-                    [getting, stopping], return_when=asyncio.FIRST_COMPLETED
+                    [next_item, stopping], return_when=asyncio.FIRST_COMPLETED
                 )
-                if not getting.done():
-                    getting.cancel()
-                    await asyncio.gather(getting, return_exceptions=True)
+                if not next_item.done():
+                    next_item.cancel()
+                    await asyncio.gather(next_item, return_exceptions=True)
                     break
                 try:
-                    item = getting.result()
+                    item = next_item.result()
                 except StopAsyncIteration:
                     record.faults.append("ended")
                     break
@@ -213,13 +213,13 @@
             self.counts += caller.counts
 
 
-def judge(load: Load, runs: list[dict]) -> Judgement:
+def judge(load: Load, runs: list[dict]) -> LoadResult:
     """Compare the outcomes that callers saw with the runs of targets."""
     times_by_tag = Counter(run["tag"] for run in runs)
-    not_idempotent = {a.tag for a in load.asked if not a.idempotent}
+    not_idempotent = {r.tag for r in load.requests if not r.idempotent}
     lost = false_not_run = not_run = 0
-    for asked in load.asked:
-        match asked.outcome:
+    for request in load.requests:
+        match request.outcome:
             case Done():
                 pass
             case NotRun(retry_after=-1):
@@ -228,15 +228,15 @@
                 not_run += 1
                 # An idempotent request may have run in an earlier attempt; its
                 # outcome is that of the last attempt.
-                if times_by_tag[asked.tag] and not asked.idempotent:
+                if times_by_tag[request.tag] and not request.idempotent:
                     false_not_run += 1
             case _:
                 lost += 1
     broken = sum(1 for stream in load.streams if stream.faults)
-    return Judgement(
-        requests=len(load.asked),
+    return LoadResult(
+        requests=len(load.requests),
         streams=len(load.streams),
-        uploads=sum(1 for asked in load.asked if asked.service == "logs"),
+        uploads=sum(1 for request in load.requests if request.service == "logs"),
         broken_flows=broken + load.counts["flows_lost"] + load.counts["flows_gone"],
         lost_answers=lost,
         ran_twice=sum(1 for tag in not_idempotent if times_by_tag[tag] > 1),
--- a/standins/packets/load.py
+++ b/standins/packets/load.py
@@ -8,7 +8,7 @@
 from standins.packets.caller import CallerFlow, FlowEnded
 from standins.packets.deployment import SERVICES, PacketDeployment
 
-__all__ = ["PacketLoad", "Verdict"]
+__all__ = ["PacketLoad", "PacketLoadResult"]
 
 REQUEST_SECONDS = 3.0
 UPLOAD_BYTES = 20_000
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Verdict:
+class PacketLoadResult:
     """Counts from records; all but ``requests`` and ``failed`` must be 0.
 
     Attributes:
@@ -76,13 +76,13 @@
             draw = random.Random(f"{self.seed} {number}")
             self._tasks.append(asyncio.create_task(self._repeat(behave, draw)))
 
-    async def stop(self) -> Verdict:
+    async def stop(self) -> PacketLoadResult:
         """Stop callers after their current requests; return the counts."""
         self._is_stopping = True
         await asyncio.gather(*self._tasks)
-        return self.verdict()
+        return self.result()
 
-    def verdict(self) -> Verdict:
+    def result(self) -> PacketLoadResult:
         """Return the counts so far."""
         runs: Counter = Counter()
         wrong = 0
@@ -92,7 +92,7 @@
                 not self._may_run(request, target.service)
                 for request in target.runs_by_id
             )
-        return Verdict(
+        return PacketLoadResult(
             requests=self.counts["answered"],
             failed=self.counts["failed"],
             false_resets=self.counts["false_reset"],
--- a/standins/packets/simulation.py
+++ b/standins/packets/simulation.py
@@ -100,7 +100,7 @@
             after the outage.
         caller_way_seconds: One-way latency between a VM and a caller.
         addresses: Number of IP addresses that callers share; 0 gives each its own.
-        late_worth: Score of a response after its latency target; one within it
+        late_score: Score of a response after its latency target; one within it
             scores 1.
         reserves: Whether waiting flows reserve slots at agents.
         speeds: Relative speeds of targets, cycled within each data centre.
@@ -126,7 +126,7 @@
     cold_ratio: float = 1.6
     caller_way_seconds: float = LATENCY_SECONDS
     addresses: int = 0
-    late_worth: float = 0.3
+    late_score: float = 0.3
     reserves: bool = False
     speeds: tuple[float, ...] = (1.0,)
     callers_by_data_centre: tuple[int, ...] = ()
@@ -386,7 +386,7 @@
         if seconds <= self.world.aim_seconds:
             return 1.0
         is_served = seconds <= self.world.timeout_seconds
-        return self.world.late_worth if is_served else 0.0
+        return self.world.late_score if is_served else 0.0
 
     def late_by_data_centre(self) -> list[float]:
         """Return the share of late or failed requests of each data centre's callers."""
--- a/standins/store.py
+++ b/standins/store.py
@@ -14,7 +14,7 @@
     prefix_end,
 )
 
-__all__ = ["Store", "StoreCopy", "range_end"]
+__all__ = ["Store", "StoreBackup", "range_end"]
 
 
 @dataclass(slots=True, kw_only=True)
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class StoreCopy:
+class StoreBackup:
     """A backup of a `Store`."""
 
     number: int
@@ -51,10 +51,10 @@
         """The current revision."""
         return Revision(generation=self.generation, number=self.number)
 
-    def copy(self) -> StoreCopy:
+    def copy(self) -> StoreBackup:
         """Return a backup of the store."""
         return deepcopy(
-            StoreCopy(
+            StoreBackup(
                 number=self.number,
                 values_by_key=self._values_by_key,
                 leases_by_id=self._leases_by_id,
@@ -63,26 +63,26 @@
             )
         )
 
-    def restore(self, copy: StoreCopy) -> None:
+    def restore(self, backup: StoreBackup) -> None:
         """Restore a backup: writes and leases made since are lost.
 
         Begins a new generation, in which revision numbers and lease ids of the
         lost writes are used again.
         """
-        copy = deepcopy(copy)
+        backup = deepcopy(backup)
         self.generation += 1
-        self.number = copy.number
+        self.number = backup.number
         self._values_by_key = {
             key: replace(
                 value, mod_revision=self._in_current_generation(value.mod_revision)
             )
-            for key, value in copy.values_by_key.items()
+            for key, value in backup.values_by_key.items()
         }
-        self._leases_by_id = copy.leases_by_id
-        self._last_lease = copy.last_lease
+        self._leases_by_id = backup.leases_by_id
+        self._last_lease = backup.last_lease
         self.history = [
             replace(event, mod_revision=self._in_current_generation(event.mod_revision))
-            for event in copy.history
+            for event in backup.history
         ]
 
     def _in_current_generation(self, revision: Revision) -> Revision:
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,4 +1,4 @@
-"""Runs every test by nose2; only what KNOWN-RED.txt names may fail."""
+"""Runs the tests with nose2; only tests listed in KNOWN-RED.txt may fail."""
 
 import sys
 from pathlib import Path
@@ -10,16 +10,16 @@
 
 ROOT = Path(__file__).parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 
 
 def _known_red() -> dict[str, str]:
-    """Return the listed tests' names and the lines that list them."""
+    """Return the lines of KNOWN-RED.txt by the test that each names."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST_KNOWN_RED:
-        sys.exit(f"{KNOWN_RED.name} lists more than {MOST_KNOWN_RED} tests")
+    if len(lines) > MAX_KNOWN_RED:
+        sys.exit(f"{KNOWN_RED.name} lists more than {MAX_KNOWN_RED} tests")
     return {line.split(",")[0].strip(): line for line in lines}
 
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -6,7 +6,7 @@
 
 
 class FailedNames(Plugin):
-    """Keeps names in lists that all instances share."""
+    """Collects names in lists that all instances share."""
 
     alwaysOn = True  # noqa: N815 (nose2's own name)
     configSection = "failed-names"  # noqa: N815
@@ -14,7 +14,7 @@
     finished: list[str] = []
 
     def testOutcome(self, event) -> None:  # noqa: N802
-        """Note a failure or an error; called by nose2."""
+        """Record a finished test and whether it failed; called by nose2."""
         name = event.test.id().split(" ")[0].split("\n")[0]
         if event.outcome != "subtest":
             self.finished.append(name)
--- a/tests/packets/test_proxy.py
+++ b/tests/packets/test_proxy.py
@@ -1,4 +1,4 @@
-"""The soak's proxies do what their faults say."""
+"""Proxies apply their faults to connections and datagrams."""
 
 import asyncio
 import random
@@ -9,7 +9,7 @@
 
 PROXY = Address(ip="127.91.0.2", port=9100)
 SERVER = Address(ip="127.91.0.1", port=9100)
-SOON = 0.2  # long for a way on loopback
+SOON = 0.2  # seconds; much longer than a round trip on loopback
 
 
 async def _echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -19,7 +19,7 @@
 
 
 class TcpProxyTests(unittest.IsolatedAsyncioTestCase):
-    """Connections that pass a proxy."""
+    """Connections through a proxy."""
 
     async def asyncSetUp(self) -> None:
         self.server = await asyncio.start_server(_echo, *SERVER.endpoint)
@@ -32,31 +32,31 @@
         await self.proxy.stop()
         self.server.close()
 
-    async def comes_back(self, text: bytes) -> bool:
+    async def echoes(self, text: bytes) -> bool:
         self.writer.write(text)
-        return await self.comes()
+        return await self.receives()
 
-    async def comes(self) -> bool:
+    async def receives(self) -> bool:
         try:
             return bool(await asyncio.wait_for(self.reader.read(100), SOON))
         except TimeoutError:
             return False
 
     async def test_passes(self) -> None:
-        """Without a fault all passes."""
-        self.assertTrue(await self.comes_back(b"a"))
+        """Without a fault, data passes both ways."""
+        self.assertTrue(await self.echoes(b"a"))
 
-    async def test_silent_one_way(self) -> None:
-        """What a silent link holds up comes after it heals."""
-        self.assertTrue(await self.comes_back(b"a"))
+    async def test_blocked_one_way(self) -> None:
+        """Data that a fault holds back is delivered once the fault is cleared."""
+        self.assertTrue(await self.echoes(b"a"))
         self.proxy.faults.blocks_from_server = True
-        self.assertFalse(await self.comes_back(b"b"))
+        self.assertFalse(await self.echoes(b"b"))
         self.proxy.faults.clear()
-        self.assertTrue(await self.comes())
+        self.assertTrue(await self.receives())
 
     async def test_reset(self) -> None:
-        """A reset ends both ends of a connection."""
-        self.assertTrue(await self.comes_back(b"a"))
+        """A reset closes the client's connection too."""
+        self.assertTrue(await self.echoes(b"a"))
         self.proxy.reset()
         try:
             left = await asyncio.wait_for(self.reader.read(100), 5)
@@ -66,10 +66,10 @@
 
 
 class UdpProxyTests(unittest.IsolatedAsyncioTestCase):
-    """Datagrams that pass a proxy."""
+    """Datagrams through a proxy."""
 
-    async def test_silent_and_mended(self) -> None:
-        """A silent link loses datagrams, a mended one passes them."""
+    async def test_blocked_and_cleared(self) -> None:
+        """A blocked link drops datagrams, a cleared one forwards them."""
         received: asyncio.Queue = asyncio.Queue()
 
         class Sink(asyncio.DatagramProtocol):
--- a/tests/packets/test_soak.py
+++ b/tests/packets/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak, and its plans."""
+"""Plans of the soak test, and short runs of it."""
 
 import unittest
 
@@ -14,28 +14,28 @@
 
 
 class SoakTests(unittest.IsolatedAsyncioTestCase):
-    """One seed that was clean, again on each change."""
+    """Fixed seeds without violations."""
 
     def test_a_seed_fixes_the_plan(self) -> None:
-        """The same seed has the same faults, another one others."""
+        """Plans depend on the seed alone."""
         self.assertEqual(make_plan(7, seconds=20), make_plan(7, seconds=20))
         self.assertNotEqual(make_plan(7, seconds=20), make_plan(8, seconds=20))
 
     async def test_first_edition(self) -> None:
-        """Seeds of the first edition keep their plans."""
+        """Only the second edition has faults of links and clocks."""
         kinds = {s.kind for n in range(20) for s in _steps(n, edition=1)}
         self.assertFalse(any("link" in kind for kind in kinds))
         kinds = {s.kind for n in range(20) for s in _steps(n, edition=2)}
         self.assertGreaterEqual(kinds, {"link_silent", "target_lossy", "clock_step"})
 
     async def test_links_and_clocks(self) -> None:
-        """All promises are kept where links and clocks misbehave."""
+        """No guarantee is violated under faults of links and clocks."""
         report = await run_seed(LINKS_SEED, seconds=SECONDS)
         self.assertEqual(report.broken, (), report)
         self.assertGreater(report.verdict.requests, 100)
 
     async def test_short_run(self) -> None:
-        """All promises are kept through a few faults."""
+        """No guarantee is violated under faults of processes and the store."""
         report = await run_seed(SEED, seconds=SECONDS, edition=1)
         self.assertEqual(report.broken, (), report)
         self.assertGreater(report.verdict.requests, 100)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""Where things stand, and what may import what."""
+"""Import rules between modules."""
 
 import ast
 import unittest
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-PRODUCT = ROOT / "monsoonpier"
+PACKAGE = ROOT / "monsoonpier"
 TOKENS, PACKETS = "tokens", "packets"
 
 
@@ -21,13 +21,13 @@
 
 
 class PathTests(unittest.TestCase):
-    """Flows with a token and flows without one are served by separate code."""
+    """Code for flows with and without a token is kept separate."""
 
     def test_neither_path_imports_the_other(self) -> None:
-        """What both need stands beside the two folders, not in one of them."""
+        """Neither package imports the other; shared code is beside them."""
         for own, other in ((TOKENS, PACKETS), (PACKETS, TOKENS)):
             for role in ("agent", "balancer"):
-                files = sorted((PRODUCT / role / own).glob("*.py"))
+                files = sorted((PACKAGE / role / own).glob("*.py"))
                 self.assertTrue(files)
                 for file in files:
                     with self.subTest(file=str(file.relative_to(ROOT))):
@@ -39,9 +39,9 @@
                         self.assertEqual(foreign, [])
 
     def test_what_is_shared_imports_neither_path(self) -> None:
-        """Membership, tables and links to others serve both paths alike."""
+        """Modules shared by both packages import neither."""
         for role in ("agent", "balancer"):
-            for file in sorted((PRODUCT / role).glob("*.py")):
+            for file in sorted((PACKAGE / role).glob("*.py")):
                 with self.subTest(file=str(file.relative_to(ROOT))):
                     parts = {
                         part
--- a/tests/test_mutations_list.py
+++ b/tests/test_mutations_list.py
@@ -1,4 +1,4 @@
-"""The list of guards fits the code, so that taking each out can be tried."""
+"""The list of mutations matches the code."""
 
 import unittest
 from pathlib import Path
@@ -9,10 +9,10 @@
 
 
 class ListTests(unittest.TestCase):
-    """Entries of ``bench/mutations.yaml``; trying them takes minutes."""
+    """Entries of ``bench/mutations.yaml``, without applying them."""
 
     def test_each_guard_stands_once(self) -> None:
-        """A guard that moved or changed is found here, not when all are tried."""
+        """Each entry's old code occurs exactly once in its file."""
         text = (ROOT / "bench" / "mutations.yaml").read_text()
         for entry in YAML(typ="safe", pure=True).load(text):
             with self.subTest(guard=entry["guard"]):
