--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -117,9 +117,9 @@
         before = read_cost(node.pid)
         await asyncio.sleep(3.0)
         after = read_cost(node.pid)
-        seen = (await deployment.metrics("b-targets"))["monsoonpier_targets"]
-        memory.append((seen, after.resident_kib))
-        idle.append((seen, (after.seconds - before.seconds) / 3.0 * 100))
+        targets = (await deployment.metrics("b-targets"))["monsoonpier_targets"]
+        memory.append((targets, after.resident_kib))
+        idle.append((targets, (after.seconds - before.seconds) / 3.0 * 100))
     figures["balancer KiB by targets known"] = fit(memory)
     figures["balancer % of a core by targets known, no traffic"] = fit(idle)
     points = []
@@ -156,9 +156,9 @@
             await pause_after_burst(number, burst=OPEN_BURST)
         await asyncio.sleep(SETTLE_SECONDS)
         spent = read_cost(node.pid).seconds - before.seconds
-        seen = (await deployment.metrics("b-opens"))["monsoonpier_targets"]
+        targets = (await deployment.metrics("b-opens"))["monsoonpier_targets"]
         placed = await _opens(deployment, "b-opens") - opens_before
-        points.append((seen, spent / placed * 1e6))
+        points.append((targets, spent / placed * 1e6))
     figures["balancer microseconds per new flow by targets of the service"] = fit(
         points
     )
@@ -236,7 +236,7 @@
 
 async def _idle_balancer(deployment: Deployment, figures: dict) -> None:
     """Measure the cost of an idle balancer by the number of balancers."""
-    points, calls = [], []
+    points, control_rates = [], []
     for count in (1, 2, 4, 8):
         while (
             len([n for n in deployment.nodes_by_name if n.startswith("b-idle")]) < count
@@ -253,10 +253,10 @@
         bytes_after = await _control_bytes(deployment, names[0])
         share = (after.seconds - before.seconds) / IDLE_SECONDS * 100
         points.append((count + 1, share))
-        calls.append((count + 1, (bytes_after - bytes_before) / IDLE_SECONDS))
+        control_rates.append((count + 1, (bytes_after - bytes_before) / IDLE_SECONDS))
         figures["balancer idle KiB"] = after.resident_kib
     figures["balancer idle % of a core by balancers"] = fit(points)
-    figures["balancer idle control bytes a second by balancers"] = fit(calls)
+    figures["balancer idle control bytes a second by balancers"] = fit(control_rates)
     metrics = await deployment.metrics(names[0])
     calls_made = metrics['monsoonpier_platform_calls_total{kind="all"}']
     figures["platform calls of one balancer a second"] = (
--- a/bench/packet_placement.py
+++ b/bench/packet_placement.py
@@ -30,20 +30,20 @@
 
 
 def _untried(query, candidates: Sequence[Candidate]) -> list[Candidate]:
-    left = [c for c in candidates if c.record.name not in query.tried]
-    return sorted(left, key=lambda c: c.record.name)
+    untried = [c for c in candidates if c.record.name not in query.tried]
+    return sorted(untried, key=lambda c: c.record.name)
 
 
 def _random(simulation, query, candidates, draw):
-    left = _untried(query, candidates)
-    return Chosen(record=draw.choice(left).record) if left else _no_target()
+    untried = _untried(query, candidates)
+    return Chosen(record=draw.choice(untried).record) if untried else _no_target()
 
 
 def _least_of_two(simulation, query, candidates, draw):
-    left = _untried(query, candidates)
-    if not left:
+    untried = _untried(query, candidates)
+    if not untried:
         return _no_target()
-    drawn = draw.sample(left, min(2, len(left)))
+    drawn = draw.sample(untried, min(2, len(untried)))
     return Chosen(record=min(drawn, key=lambda c: c.work + c.sent_since).record)
 
 
@@ -51,10 +51,10 @@
     turns = itertools.count()
 
     def choose(simulation, query, candidates, draw):
-        left = _untried(query, candidates)
+        untried = _untried(query, candidates)
         return (
-            Chosen(record=left[next(turns) % len(left)].record)
-            if left
+            Chosen(record=untried[next(turns) % len(untried)].record)
+            if untried
             else _no_target()
         )
 
@@ -63,8 +63,8 @@
 
 def _full_knowledge(simulation, query, candidates, draw):
     """Choose by the current state of the targets, which no real balancer can know."""
-    left = _untried(query, candidates)
-    if not left:
+    untried = _untried(query, candidates)
+    if not untried:
         return _no_target()
 
     def cost(candidate: Candidate) -> float:
@@ -76,8 +76,8 @@
         flows = query.long_share * candidate.placed / simulation.world.slots
         return (runs + flows / 4) * fault.slow_ratio + 10 * fault.failure_share
 
-    draw.shuffle(left)
-    return Chosen(record=min(left, key=cost).record)
+    draw.shuffle(untried)
+    return Chosen(record=min(untried, key=cost).record)
 
 
 def _no_target() -> NoTarget:
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -59,10 +59,10 @@
     return Balancer(own=own, keys=KEYS)
 
 
-def _hashed(flow: bytes, hosts: list[int]) -> int:
+def _hashed(flow: bytes, targets: list[int]) -> int:
     """Steer by a hash of the flow over a balancer's own list of targets."""
     number = int.from_bytes(blake2b(flow, digest_size=8).digest(), "big")
-    return hosts[number % len(hosts)]
+    return targets[number % len(targets)]
 
 
 def broken_flows() -> Iterator[dict]:
@@ -74,26 +74,29 @@
     the wrong target count.
     """
     draw = random.Random(11)
-    hosts = list(range(1, TARGETS + 1))
-    tables = [list(hosts) for _ in range(BALANCERS)]
+    targets = list(range(1, TARGETS + 1))
+    tables = [list(targets) for _ in range(BALANCERS)]
     balancers = [_balancer(n) for n in range(BALANCERS)]
     flows = [draw.randbytes(16) for _ in range(FLOWS)]
-    owner = {flow: _hashed(flow, hosts) for flow in flows}
+    owner = {flow: _hashed(flow, targets) for flow in flows}
     broken: dict[str, set] = {"product": set(), "naive hash": set()}
     for step in range(TARGETS):
-        hosts = [*hosts[1:], TARGETS + 1 + step]
+        targets = [*targets[1:], TARGETS + 1 + step]
         balancers[step % BALANCERS] = _balancer(step % BALANCERS)
-        tables = [hosts if draw.random() < 0.5 else table for table in tables]
-        tables[step % BALANCERS] = hosts
+        tables = [targets if draw.random() < 0.5 else table for table in tables]
+        tables[step % BALANCERS] = targets
         for flow in flows:
-            if owner[flow] not in hosts:
+            if owner[flow] not in targets:
                 # The flow moves before its target is removed.
-                owner[flow] = draw.choice(hosts)
+                owner[flow] = draw.choice(targets)
                 broken["naive hash"].discard(flow)
-            at = draw.randrange(BALANCERS)
-            if _hashed(flow, tables[at]) != owner[flow]:
+            balancer_index = draw.randrange(BALANCERS)
+            if _hashed(flow, tables[balancer_index]) != owner[flow]:
                 broken["naive hash"].add(flow)
-            if _steered(balancers[at], flow, owner[flow], draw) != owner[flow]:
+            if (
+                _steered(balancers[balancer_index], flow, owner[flow], draw)
+                != owner[flow]
+            ):
                 broken["product"].add(flow)
     for version, lost in broken.items():
         yield {
@@ -104,10 +107,10 @@
         }
 
 
-def _steered(balancer: Balancer, flow: bytes, host: int, draw: random.Random) -> int:
+def _steered(balancer: Balancer, flow: bytes, target: int, draw: random.Random) -> int:
     """Return the target to which monsoonpier steers a packet, 0 if it is dropped."""
     token = HolderToken(
-        service="maps", ip=f"10.1.0.{host}", port=9000, instance=bytes([host]) * 8
+        service="maps", ip=f"10.1.0.{target}", port=9000, instance=bytes([target]) * 8
     )
     sealed = seal_token(token, flow=flow, keys=KEYS)
     packet = caller_codec.encode(Ping(flow=flow, token=sealed, acked=1))
@@ -118,7 +121,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Host:
+class _Target:
     """A simulated target with slots and a queue."""
 
     record: TargetRecord
@@ -128,12 +131,12 @@
     queue: list[float] = field(default_factory=list)
     flows: int = 0
     done: int = 0
-    area: float = 0.0
+    area: float = 0.0  # work in progress, integrated over time
     changed_at: float = 0.0
-    service: float = 0.0
+    mean_service_seconds: float = 0.0
     reports: int = 0
 
-    def count(self, now: float) -> None:
+    def update_area(self, now: float) -> None:
         """Add the work in progress since the last call to ``area``."""
         self.area += (self.running + len(self.queue)) * (now - self.changed_at)
         self.changed_at = now
@@ -144,14 +147,14 @@
             return 1 - 0.75 * COLD_SECONDS / 2 / RUN_SECONDS
         return self.speed
 
-    def seconds(self, now: float, draw: random.Random) -> float:
+    def draw_service_seconds(self, now: float, draw: random.Random) -> float:
         """Draw the service time of a run that starts now."""
         speed = self.speed
         if self.cold:
             speed = min(1.0, 0.25 + 0.75 * now / COLD_SECONDS)
         return draw.expovariate(1 / WORK_SECONDS) / speed
 
-    def report(self, now: float) -> LoadReport:
+    def load_report(self, now: float) -> LoadReport:
         """Return the load report that its agent would send."""
         self.reports += 1
         age = now if self.cold else 60.0
@@ -160,13 +163,13 @@
             in_flight=self.running,
             queued=len(self.queue),
             flows=self.flows,
-            service_ms=int(self.service * 1000),
+            service_ms=int(self.mean_service_seconds * 1000),
             age_ms=int(age * 1000),
             condition=Condition.SERVING,
         )
 
 
-class _Experiment:
+class _Simulation:
     """A simulation with open arrivals, a flow per request and several balancers."""
 
     def __init__(self, *, policy: str, scenario: str, seed: int) -> None:
@@ -175,81 +178,85 @@
         self._events: list = []
         self._order = itertools.count()
         self._turns = [itertools.count(n) for n in range(BALANCERS)]
-        self.hosts = [_Host(record=_record(n)) for n in range(1, TARGETS + 1)]
+        self.targets = [_Target(record=_record(n)) for n in range(1, TARGETS + 1)]
         if scenario == "one slow":
-            self.hosts[0].speed = 1 / 3
+            self.targets[0].speed = 1 / 3
         if scenario == "one cold":
-            self.hosts[0].cold = True
+            self.targets[0].cold = True
         self._views = [
-            {h.record.name: (h.report(0.0), 0) for h in self.hosts}
+            {t.record.name: (t.load_report(0.0), 0) for t in self.targets}
             for _ in range(BALANCERS)
         ]
 
     def run(self) -> None:
         """Run the simulation."""
-        rate = UTILISATION * SLOTS / WORK_SECONDS * sum(h.speed for h in self.hosts)
+        rate = UTILISATION * SLOTS / WORK_SECONDS * sum(t.speed for t in self.targets)
         self._push(0.0, self._arrive, rate)
-        for host in self.hosts:
-            self._push(self._draw.random(), self._send_heartbeat, host)
+        for target in self.targets:
+            self._push(self._draw.random(), self._send_heartbeat, target)
         while self._events and self._events[0][0] < RUN_SECONDS:
             now, _, call, argument = heapq.heappop(self._events)
             call(argument, now)
-        for host in self.hosts:
-            host.count(RUN_SECONDS)
+        for target in self.targets:
+            target.update_area(RUN_SECONDS)
 
     def _push(self, when: float, call, argument) -> None:
         heapq.heappush(self._events, (when, next(self._order), call, argument))
 
     def _arrive(self, rate: float, now: float) -> None:
         self._push(now + self._draw.expovariate(rate), self._arrive, rate)
-        at = self._draw.randrange(BALANCERS)
-        host = self._pick(at)
-        load, sent = self._views[at][host.record.name]
-        self._views[at][host.record.name] = (load, sent + 1)
-        host.count(now)
-        host.flows += 1
-        host.queue.append(now)
-        self._start_next(host, at, now)
-
-    def _start_next(self, host: _Host, at: int, now: float) -> None:
-        if host.queue and host.running < SLOTS:
-            host.queue.pop(0)
-            host.running += 1
-            seconds = host.seconds(now, self._draw)
-            self._push(now + seconds, self._finish, (host, at, seconds))
+        balancer_index = self._draw.randrange(BALANCERS)
+        target = self._choose_target(balancer_index)
+        load, sent = self._views[balancer_index][target.record.name]
+        self._views[balancer_index][target.record.name] = (load, sent + 1)
+        target.update_area(now)
+        target.flows += 1
+        target.queue.append(now)
+        self._start_next(target, balancer_index, now)
+
+    def _start_next(self, target: _Target, balancer_index: int, now: float) -> None:
+        if target.queue and target.running < SLOTS:
+            target.queue.pop(0)
+            target.running += 1
+            seconds = target.draw_service_seconds(now, self._draw)
+            self._push(now + seconds, self._finish, (target, balancer_index, seconds))
 
     def _finish(self, work, now: float) -> None:
-        host, at, seconds = work
-        host.count(now)
-        host.running -= 1
-        host.flows -= 1
-        host.done += 1
-        host.service += 0.2 * (seconds - host.service) if host.service else seconds
+        target, balancer_index, seconds = work
+        target.update_area(now)
+        target.running -= 1
+        target.flows -= 1
+        target.done += 1
+        target.mean_service_seconds += (
+            0.2 * (seconds - target.mean_service_seconds)
+            if target.mean_service_seconds
+            else seconds
+        )
         # The reply carries a load report to the balancer that forwards it.
-        self._views[at][host.record.name] = (host.report(now), 0)
-        self._start_next(host, self._draw.randrange(BALANCERS), now)
+        self._views[balancer_index][target.record.name] = (target.load_report(now), 0)
+        self._start_next(target, self._draw.randrange(BALANCERS), now)
 
-    def _send_heartbeat(self, host: _Host, now: float) -> None:
+    def _send_heartbeat(self, target: _Target, now: float) -> None:
         for view in self._views:
-            view[host.record.name] = (host.report(now), 0)
-        self._push(now + HEARTBEAT_SECONDS, self._send_heartbeat, host)
+            view[target.record.name] = (target.load_report(now), 0)
+        self._push(now + HEARTBEAT_SECONDS, self._send_heartbeat, target)
 
-    def _pick(self, at: int) -> _Host:
+    def _choose_target(self, balancer_index: int) -> _Target:
         match self._policy:
             case "random":
-                return self._draw.choice(self.hosts)
+                return self._draw.choice(self.targets)
             case "round robin":
-                return self.hosts[next(self._turns[at]) % TARGETS]
+                return self.targets[next(self._turns[balancer_index]) % TARGETS]
             case "full knowledge":
-                return min(self.hosts, key=self._true_wait)
-        view = self._views[at]
+                return min(self.targets, key=self._true_wait)
+        view = self._views[balancer_index]
         candidates = [
             Candidate(
-                record=h.record,
-                load=view[h.record.name][0],
-                sent_since=view[h.record.name][1],
+                record=t.record,
+                load=view[t.record.name][0],
+                sent_since=view[t.record.name][1],
             )
-            for h in self.hosts
+            for t in self.targets
         ]
         choice = choose(
             candidates,
@@ -259,10 +266,10 @@
             draw=self._draw,
         )
         assert isinstance(choice, Chosen)
-        return self.hosts[int(choice.record.name.split("-")[1]) - 1]
+        return self.targets[int(choice.record.name.split("-")[1]) - 1]
 
-    def _true_wait(self, host: _Host) -> tuple[float, float]:
-        wait = (host.running + len(host.queue) + 1) / host.speed
+    def _true_wait(self, target: _Target) -> tuple[float, float]:
+        wait = (target.running + len(target.queue) + 1) / target.speed
         return wait, self._draw.random()
 
 
@@ -273,11 +280,13 @@
         for policy in policies:
             progress, completed = [], []
             for seed in SEEDS:
-                experiment = _Experiment(policy=policy, scenario=scenario, seed=seed)
-                experiment.run()
-                hosts = experiment.hosts
-                progress.append(_max_over_mean([h.area for h in hosts]))
-                completed.append(_max_over_mean([h.done / h.capacity() for h in hosts]))
+                simulation = _Simulation(policy=policy, scenario=scenario, seed=seed)
+                simulation.run()
+                targets = simulation.targets
+                progress.append(_max_over_mean([t.area for t in targets]))
+                completed.append(
+                    _max_over_mean([t.done / t.capacity() for t in targets])
+                )
             yield {
                 "figure": "imbalance",
                 "scenario": scenario,
--- a/bench/policy_bound.py
+++ b/bench/policy_bound.py
@@ -59,7 +59,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Bound:
-    """An upper bound on a day's score and its parts."""
+    """An upper bound on a day's score.
+
+    Attributes:
+        served: Mean score of all requests.
+        worst_windows: Mean score of the worst windows.
+        score: Weighted sum of both, less the deductions.
+    """
 
     served: float
     worst_windows: float
@@ -71,7 +77,7 @@
     steps = round(outage.seconds / STEP_SECONDS)
     score_by_step = [1.0] * steps
     backlog: list[int] = []  # steps whose requests wait and are late
-    served = 0.0
+    spare_steps = 0.0  # capacity for late requests, in steps of arrivals
     for step in range(steps):
         now = step * STEP_SECONDS
         if not outage.at - outage.run_seconds <= now:
@@ -81,11 +87,11 @@
             backlog.append(step)
         if now < outage.up_at:
             continue
-        spare = _slots_per_second(outage, now) - outage.per_second
-        served += max(0.0, spare) / outage.per_second
-        while served >= 1 and backlog:
+        spare = _runs_per_second(outage, now) - outage.per_second
+        spare_steps += max(0.0, spare) / outage.per_second
+        while spare_steps >= 1 and backlog:
             waiting = backlog.pop(0)
-            served -= 1
+            spare_steps -= 1
             waited = now - waiting * STEP_SECONDS
             is_served = waited <= outage.timeout_seconds
             score_by_step[waiting] = outage.late_score if is_served else 0.0
@@ -97,7 +103,7 @@
     return now + outage.aim_seconds < outage.up_at + run
 
 
-def _slots_per_second(outage: Outage, now: float) -> float:
+def _runs_per_second(outage: Outage, now: float) -> float:
     is_cold = now < outage.at + outage.down_seconds + outage.cold_seconds
     ratio = outage.cold_ratio if is_cold else 1.0
     return outage.slots / (outage.run_seconds * ratio)
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -35,7 +35,7 @@
     folder: Path = field(init=False)
     _last_host: int = 10
     _http: aiohttp.ClientSession | None = None
-    _balancer_ips: dict[str, str] = field(default_factory=dict)
+    _ready_urls_by_ip: dict[str, str] = field(default_factory=dict)
 
     async def __aenter__(self) -> "Deployment":
         self.folder = Path(tempfile.mkdtemp(prefix="monsoonpier-"))
@@ -109,7 +109,7 @@
         node = await self._start_process(
             "balancer", name, ip, wait=wait, service_bind_ip=ip, **settings
         )
-        self._balancer_ips[ip] = f"http://{ip}:9002/readyz"
+        self._ready_urls_by_ip[ip] = f"http://{ip}:9002/readyz"
         await self._update_fabric()
         return node
 
@@ -169,7 +169,7 @@
         """Shut down a balancer, remove it from the fabric; return its exit status."""
         node = self.nodes_by_name[name]
         status = await node.stop()
-        self._balancer_ips.pop(node.ip, None)
+        self._ready_urls_by_ip.pop(node.ip, None)
         await self._update_fabric()
         return status
 
@@ -256,7 +256,7 @@
 
     async def _update_fabric(self) -> None:
         url = f"{self.fabric_url}/standin/balancers"
-        async with self._http.post(url, json=self._balancer_ips) as response:
+        async with self._http.post(url, json=self._ready_urls_by_ip) as response:
             response.raise_for_status()
 
     async def _start_stand_in(
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -14,8 +14,8 @@
 
 __all__ = ["FabricStandIn"]
 
-CHECK_SECONDS = 0.2
-FAILED_CHECKS = 2
+CHECK_SECONDS = 0.2  # interval of health checks
+FAILED_CHECKS = 2  # in a row, until a balancer is excluded
 MAX_CALLERS = 4_000
 
 
--- a/standins/link_load.py
+++ b/standins/link_load.py
@@ -6,7 +6,7 @@
 from monsoonpier.link.schedule import Datagram, LinkSchedule, Urgency
 from standins.link import Link
 
-__all__ = ["Arrived", "Sent", "play", "send_unscheduled", "window"]
+__all__ = ["ReceivedDatagram", "Sent", "play", "send_unscheduled", "window"]
 
 ENDPOINT = ("10.2.0.1", 7720)
 WINDOW = 16  # packets that a caller sends before it waits for an acknowledgement
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Arrived:
+class ReceivedDatagram:
     """A datagram received at the far end; ``waited`` is its latency in seconds."""
 
     flow: int
@@ -77,13 +77,15 @@
     return sum(link.arrival(one.size, now=one.at) is not None for one in sent)
 
 
-def play(sent: list[Sent], *, link: Link) -> tuple[list[Arrived], LinkSchedule]:
+def play(
+    sent: list[Sent], *, link: Link
+) -> tuple[list[ReceivedDatagram], LinkSchedule]:
     """Send over a link with a schedule; return the datagrams received and the schedule.
 
     The schedule's timer fires up to `TICK_SECONDS` late.
     """
     schedule = LinkSchedule(bits_per_second=link.bits_per_second)
-    arrived: list[Arrived] = []
+    arrived: list[ReceivedDatagram] = []
     sent_at_by_data: dict[bytes, float] = {}
     events = [(one.at, number, one) for number, one in enumerate(sent)]
     heapq.heapify(events)
@@ -94,7 +96,7 @@
         if at is not None:
             flow, number = (int.from_bytes(data[i : i + 4], "big") for i in (0, 4))
             waited = at - sent_at_by_data[data]
-            one = Arrived(
+            one = ReceivedDatagram(
                 flow=flow, number=number, size=len(data), at=at, waited=waited
             )
             arrived.append(one)
--- a/standins/packets/simulation.py
+++ b/standins/packets/simulation.py
@@ -176,8 +176,8 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Request:
-    since: float
-    seconds: float
+    first_attempt_at: float
+    service_seconds: float
     failure_draw: float  # fails where this is below a fault's failure_share
     caller: bytes = b""
     attempts: int = 0
@@ -194,7 +194,7 @@
     is_long: bool
     sequence: int = 1_000
     is_open: bool = False
-    is_over: bool = False
+    is_closed: bool = False
     queue: list = field(default_factory=list)
 
 
@@ -342,22 +342,23 @@
             self._schedule_at(back, self._end_outage)
         original = openings.place
         if self._choose is not None:
-            openings.place = self._place_by_choose
+            openings.place = self._place
         try:
             while self._events:
-                self.now, _, act, arguments = heapq.heappop(self._events)
-                act(*arguments)
+                self.now, _, callback, arguments = heapq.heappop(self._events)
+                callback(*arguments)
         finally:
             openings.place = original
         return self._outcome()
 
-    def _place_by_choose(self, query, candidates, *, draw):
+    def _place(self, query, candidates, *, draw):
+        """Call ``choose`` with the signature of monsoonpier's placement."""
         return self._choose(self, query, candidates, draw)
 
     def _outcome(self) -> Outcome:
-        counted = [r for r in self._requests if r.since >= WARM_SECONDS]
+        counted = [r for r in self._requests if r.first_attempt_at >= WARM_SECONDS]
         with_response = [r for r in counted if r.response_at is not None]
-        seconds = [r.response_at - r.since for r in with_response]
+        seconds = [r.response_at - r.first_attempt_at for r in with_response]
         latency_target, limit = self.world.aim_seconds, self.world.timeout_seconds
         return Outcome(
             requests=len(counted),
@@ -382,7 +383,7 @@
     def _score(self, request: _Request) -> float:
         if request.response_at is None:
             return 0.0
-        seconds = request.response_at - request.since
+        seconds = request.response_at - request.first_attempt_at
         if seconds <= self.world.aim_seconds:
             return 1.0
         is_served = seconds <= self.world.timeout_seconds
@@ -390,7 +391,7 @@
 
     def late_by_data_centre(self) -> list[float]:
         """Return the share of late or failed requests of each data centre's callers."""
-        counted = [r for r in self._requests if r.since >= WARM_SECONDS]
+        counted = [r for r in self._requests if r.first_attempt_at >= WARM_SECONDS]
         by_data_centre = [
             [self._score(r) < 1.0 for r in counted if r.caller[0] % DATA_CENTRES == n]
             for n in range(DATA_CENTRES)
@@ -399,19 +400,19 @@
 
     def in_time_between(self, since: float, until: float) -> float:
         """Return the share of requests sent in a period with a response in time."""
-        sent = [r for r in self._requests if since <= r.since < until]
+        sent = [r for r in self._requests if since <= r.first_attempt_at < until]
         return sum(self._score(r) == 1.0 for r in sent) / len(sent)
 
     def worth_between(self, since: float, until: float) -> float:
         """Return the mean score of requests sent in a period, from 0 to 1."""
-        sent = [r for r in self._requests if since <= r.since < until]
+        sent = [r for r in self._requests if since <= r.first_attempt_at < until]
         return sum(map(self._score, sent)) / len(sent)
 
-    def _schedule_at(self, at: float, act: Callable, *arguments) -> None:
-        heapq.heappush(self._events, (at, next(self._order), act, arguments))
+    def _schedule_at(self, at: float, callback: Callable, *arguments) -> None:
+        heapq.heappush(self._events, (at, next(self._order), callback, arguments))
 
-    def _schedule_after(self, seconds: float, act: Callable, *arguments) -> None:
-        self._schedule_at(self.now + seconds, act, *arguments)
+    def _schedule_after(self, seconds: float, callback: Callable, *arguments) -> None:
+        self._schedule_at(self.now + seconds, callback, *arguments)
 
     # Load
 
@@ -429,14 +430,14 @@
             at += self._load_draw.expovariate(rate * ratio)
             request = _Request(
                 caller=self._draw_caller(),
-                since=at,
-                seconds=world.run_seconds * self._load_draw.uniform(0.5, 1.5),
+                first_attempt_at=at,
+                service_seconds=world.run_seconds * self._load_draw.uniform(0.5, 1.5),
                 failure_draw=self._load_draw.random(),
             )
             self._requests.append(request)
             is_long = self._load_draw.random() < world.long_share
-            act = self._send_on_long_flow if is_long else self._send_on_new_flow
-            self._schedule_at(at, act, request)
+            callback = self._send_on_long_flow if is_long else self._send_on_new_flow
+            self._schedule_at(at, callback, request)
 
     def _draw_caller(self) -> bytes:
         weights = self.world.callers_by_data_centre
@@ -476,7 +477,7 @@
             self._schedule_after(seconds, self._send_syn, flow, number)
         self._schedule_after(GIVE_UP_SECONDS, self._give_up_opening, flow)
         if request is not None:
-            left = request.since + self.world.timeout_seconds - self.now
+            left = request.first_attempt_at + self.world.timeout_seconds - self.now
             self._schedule_after(max(0.0, left), self._give_up_opening, flow)
         return flow
 
@@ -486,18 +487,18 @@
         return self._load_draw.randrange(self.world.addresses).to_bytes(4, "little")
 
     def _send_syn(self, flow: _Flow, number: int) -> None:
-        if flow.is_open or flow.is_over:
+        if flow.is_open or flow.is_closed:
             return
         waited = (0.0, *SYN_RETRANSMIT_SECONDS)[number]
         self._to_balancer(flow, retransmission=number, is_syn=True, waited=waited)
 
     def _give_up_opening(self, flow: _Flow) -> None:
-        if not flow.is_open and not flow.is_over:
+        if not flow.is_open and not flow.is_closed:
             self._handle_failure(flow)
 
     def _handle_failure(self, flow: _Flow) -> None:
         """Retry the flow's request on a new flow; reopen long flows in the warm-up."""
-        flow.is_over = True
+        flow.is_closed = True
         request = flow.request
         if flow.is_long:
             self._long_flows.remove(flow)
@@ -506,7 +507,7 @@
         if request is None or request.response_at is not None:
             return
         request.is_failed = True
-        is_timed_out = self.now >= request.since + self.world.timeout_seconds
+        is_timed_out = self.now >= request.first_attempt_at + self.world.timeout_seconds
         if request.attempts >= MAX_ATTEMPTS or is_timed_out:
             return
         if flow.is_long:
@@ -518,6 +519,13 @@
     # Packets
 
     def _packet(self, flow: _Flow, *, kind: int, **fields) -> Packet:
+        """Return a new packet of a flow.
+
+        Args:
+            flow: The flow.
+            kind: 0 for a caller's SYN, 1 for its other packets, 2 for a target's.
+            fields: Fields of the packet that differ from their defaults.
+        """
         raw = flow.address + bytes((kind,)) + self.draw.randbytes(4)
         packet = Packet(
             raw=raw,
@@ -607,14 +615,14 @@
                     )
         if not self._retrying[number] and self._balancers[number].is_waiting:
             self._retrying[number] = True
-            self._schedule_after(RETRY_SECONDS, self._retry, number)
+            self._schedule_after(RETRY_SECONDS, self._retry_waiting, number)
 
     def _count_placed(self, frame, target: int, balancer: int) -> None:
         if isinstance(frame, Carry) and frame.tried:
             self._placed += 1
             self._remote += target % DATA_CENTRES != balancer % DATA_CENTRES
 
-    def _retry(self, number: int) -> None:
+    def _retry_waiting(self, number: int) -> None:
         if self._is_in_outage:
             return
         self._retrying[number] = False
@@ -676,9 +684,9 @@
             self._schedule_after(EXPIRE_SECONDS, self._expire_waiting, target)
         if not target.is_report_scheduled:
             target.is_report_scheduled = True
-            self._schedule_after(REPORT_SECONDS, self._report, target)
+            self._schedule_after(REPORT_SECONDS, self._send_load_updates, target)
 
-    def _report(self, target: _Target) -> None:
+    def _send_load_updates(self, target: _Target) -> None:
         target.is_report_scheduled = False
         if target not in self.targets:
             return
@@ -712,7 +720,7 @@
         flow = self._flows_by_address[packet.flow]
         if packet.is_syn:
             self._delivered_syns += 1
-            self._late_syns += flow.is_over or flow.is_open
+            self._late_syns += flow.is_closed or flow.is_open
             syn_ack = self._packet(flow, kind=2, sequence=FIRST_SEQUENCE, is_syn=True)
             self._from_target(target, syn_ack)
             return
@@ -738,7 +746,7 @@
             fault = self.fault_of(target)
             fails = request.failure_draw < fault.failure_share
             ratio = fault.slow_ratio * self._cold_ratio() / self._speed(target)
-            seconds = FAILURE_SECONDS if fails else request.seconds * ratio
+            seconds = FAILURE_SECONDS if fails else request.service_seconds * ratio
             is_silent = fails and fault.is_mute
             self._schedule_after(
                 seconds, self._finish_run, target, flow, fails, is_silent
@@ -782,14 +790,14 @@
         self._from_target(target, response)
 
     def _time_out_request(self, flow: _Flow, request: _Request | None) -> None:
-        if flow.request is request and not flow.is_over:
+        if flow.request is request and not flow.is_closed:
             self._handle_failure(flow)
 
     # Callers
 
     def _deliver_to_caller(self, packet: Packet) -> None:
         flow = self._flows_by_address[packet.flow]
-        if flow.is_over:
+        if flow.is_closed:
             return
         if packet.is_syn:
             if flow.is_open:
@@ -812,7 +820,7 @@
             request.response_at = self.now
             flow.request = None
         if not flow.is_long:
-            flow.is_over = True
+            flow.is_closed = True
             self._to_balancer(flow, is_fin=True)
 
     def _send_request(self, flow: _Flow) -> None:
@@ -821,16 +829,16 @@
         for seconds in (0.0, *RESEND_SECONDS):
             self._schedule_after(seconds, self._send_data, flow, request, sequence)
         assert request is not None
-        left = request.since + self.world.timeout_seconds - self.now
+        left = request.first_attempt_at + self.world.timeout_seconds - self.now
         self._schedule_after(max(0.0, left), self._time_out_request, flow, request)
 
     def _send_data(self, flow: _Flow, request: _Request | None, sequence: int) -> None:
-        if flow.request is request and not flow.is_over:
+        if flow.request is request and not flow.is_closed:
             self._to_balancer(flow, size=100, sequence=sequence)
 
     def _handle_reset(self, address: bytes) -> None:
         flow = self._flows_by_address[address]
-        if not flow.is_over:
+        if not flow.is_closed:
             self._handle_failure(flow)
 
 
