--- a/bench/packet_placement.py
+++ b/bench/packet_placement.py
@@ -1,7 +1,6 @@
-"""Placement of flows without a token against other policies, in simulated time.
+"""Compares the placement of flows without a token with other policies.
 
-All policies see the same arrivals, run times and failures, so their figures compare
-within one run; the worlds are the loads of the users' sites in small.
+The policies run in simulations with the same arrivals, service times and failures.
 """
 
 import itertools
@@ -31,20 +30,20 @@
 
 
 def _untried(query, candidates: Sequence[Candidate]) -> list[Candidate]:
-    left = [c for c in candidates if c.record.name not in query.tried]
-    return sorted(left, key=lambda c: c.record.name)
+    untried = [c for c in candidates if c.record.name not in query.tried]
+    return sorted(untried, key=lambda c: c.record.name)
 
 
 def _random(simulation, query, candidates, draw):
-    left = _untried(query, candidates)
-    return Chosen(record=draw.choice(left).record) if left else _nobody()
+    untried = _untried(query, candidates)
+    return Chosen(record=draw.choice(untried).record) if untried else _no_target()
 
 
 def _least_of_two(simulation, query, candidates, draw):
-    left = _untried(query, candidates)
-    if not left:
-        return _nobody()
-    drawn = draw.sample(left, min(2, len(left)))
+    untried = _untried(query, candidates)
+    if not untried:
+        return _no_target()
+    drawn = draw.sample(untried, min(2, len(untried)))
     return Chosen(record=min(drawn, key=lambda c: c.work + c.sent_since).record)
 
 
@@ -52,19 +51,21 @@
     turns = itertools.count()
 
     def choose(simulation, query, candidates, draw):
-        left = _untried(query, candidates)
+        untried = _untried(query, candidates)
         return (
-            Chosen(record=left[next(turns) % len(left)].record) if left else _nobody()
+            Chosen(record=untried[next(turns) % len(untried)].record)
+            if untried
+            else _no_target()
         )
 
     return choose
 
 
 def _full_knowledge(simulation, query, candidates, draw):
-    """Look into the targets themselves; knows what nobody can know in time."""
-    left = _untried(query, candidates)
-    if not left:
-        return _nobody()
+    """Choose by the current state of the targets, which no real balancer can know."""
+    untried = _untried(query, candidates)
+    if not untried:
+        return _no_target()
 
     def cost(candidate: Candidate) -> float:
         number = int(candidate.record.name.rpartition("-")[2])
@@ -75,16 +76,16 @@
         flows = query.long_share * candidate.placed / simulation.world.slots
         return (runs + flows / 4) * fault.slow_ratio + 10 * fault.failure_share
 
-    draw.shuffle(left)
-    return Chosen(record=min(left, key=cost).record)
+    draw.shuffle(untried)
+    return Chosen(record=min(untried, key=cost).record)
 
 
-def _nobody() -> NoTarget:
+def _no_target() -> NoTarget:
     return NoTarget(reason="all tried", retry_after=0.1)
 
 
 def simulate(world: World, policy: str):
-    """Return the outcome of a policy in a world."""
+    """Simulate a policy with the parameters in ``world``; return the results."""
     match policy:
         case "product":
             return Simulation(world).run()
@@ -92,12 +93,12 @@
             return Simulation(world, sees_failures=False).run()
         case "full knowledge":
             return Simulation(world, choose=_full_knowledge).run()
-    chooses_by_name = {
+    choose_by_policy = {
         "random": _random,
         "least of two": _least_of_two,
         "round robin": _round_robin(),
     }
-    return Simulation(world, choose=chooses_by_name[policy], refuses=False).run()
+    return Simulation(world, choose=choose_by_policy[policy], refuses=False).run()
 
 
 POLICIES = (
@@ -111,7 +112,7 @@
 
 
 def packet_placement() -> Iterator[dict]:
-    """Yield a figure for each world and policy."""
+    """Yield the results of each simulation and policy."""
     for name, world in WORLDS_BY_NAME.items():
         for policy in POLICIES:
             outcome = simulate(world, policy)
