--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -18,7 +18,7 @@
 from monsoonpier.documents.configuration import parse_files
 from monsoonpier.documents.stored import Stored, encode_stored, pack, unstore
 from monsoonpier.model.target import Condition, LoadReport
-from monsoonpier.model.token import HolderToken, seal_token
+from monsoonpier.model.token import FlowToken, seal_token
 from monsoonpier.process.udp import open_udp
 from monsoonpier.wire.datagrams import MIN_OPEN_BYTES, Open, Ping, caller_codec
 from monsoonpier.wire.frames import Forward, FrameCodec, Return
@@ -56,7 +56,7 @@
         str(sink.address),
     )
     await asyncio.sleep(1.0)
-    token = HolderToken(
+    token = FlowToken(
         service="maps", ip=sink.address.ip, port=sink.address.port, instance=b"i" * 8
     )
     sealed = seal_token(token, flow=FLOW, keys=KEYRING)
--- a/bench/packet_capacity.py
+++ b/bench/packet_capacity.py
@@ -12,7 +12,7 @@
 import tracemalloc
 from collections.abc import Callable
 
-from monsoonpier.agent.packets.holder import PacketHolder
+from monsoonpier.agent.packets.holder import PacketFlowOwner
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.balancer.packets.steering import PacketSteering
@@ -176,7 +176,7 @@
 
 def agent_packet() -> float:
     """Return an agent's cost of a packet of an open flow in microseconds."""
-    owner = PacketHolder(
+    owner = PacketFlowOwner(
         name="a", service="maps", slots=2, connections=9, log=DecisionLog("bench")
     )
     raw = _raw(1)
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -12,7 +12,7 @@
 from monsoonpier.model.keys import Key, KeyRing
 from monsoonpier.model.service import Preference
 from monsoonpier.model.target import Condition, LoadReport, TargetRecord
-from monsoonpier.model.token import HolderToken, seal_token
+from monsoonpier.model.token import FlowToken, seal_token
 from monsoonpier.wire.datagrams import Ping, caller_codec
 from monsoonpier.wire.frames import BalancerRecord
 
@@ -109,7 +109,7 @@
 
 def _steered(balancer: Balancer, flow: bytes, target: int, draw: random.Random) -> int:
     """Return the target to which monsoonpier steers a packet, 0 if it is dropped."""
-    token = HolderToken(
+    token = FlowToken(
         service="maps", ip=f"10.1.0.{target}", port=9000, instance=bytes([target]) * 8
     )
     sealed = seal_token(token, flow=flow, keys=KEYS)
--- a/monsoonpier/agent/balancer_link.py
+++ b/monsoonpier/agent/balancer_link.py
@@ -8,7 +8,7 @@
 import msgspec
 import structlog
 
-from monsoonpier.agent.witnesses import Witnesses
+from monsoonpier.agent.witnesses import HeartbeatPeers
 from monsoonpier.documents.stored import unpack, unstore
 from monsoonpier.model.evacuation import Evacuations
 from monsoonpier.model.service import Configuration
@@ -94,7 +94,7 @@
         self._on_evacuation = evacuate
         self._draw = draw
         self._codec = FrameCodec(keys=settings.keys)
-        self._peers = Witnesses(target=settings.name)
+        self._peers = HeartbeatPeers(target=settings.name)
         self._store = store
         self._fetch_task: asyncio.Task | None = None
         self._read_task: asyncio.Task | None = None
@@ -140,7 +140,7 @@
         )
         self.announce(self.record.condition)
 
-    def acknowledged(self, ack: HeartbeatAck) -> bool:
+    def handle_ack(self, ack: HeartbeatAck) -> bool:
         """Process a balancer's response; return whether the target is allowed.
 
         A response under an older configuration than the agent's does not
@@ -148,7 +148,7 @@
         """
         self._peers.record_ack(ack, now=_now())
         self._apply_evacuation(ack)
-        epoch = self._peers.epoch_beyond(ack, epoch=self.record.epoch)
+        epoch = self._peers.next_epoch(ack, epoch=self.record.epoch)
         if epoch is not None:
             _log.warning(
                 "wall clock was set back", epoch=self.record.epoch, held=epoch - 1
--- a/monsoonpier/agent/packets/announcement.py
+++ b/monsoonpier/agent/packets/announcement.py
@@ -2,11 +2,11 @@
 
 from dataclasses import dataclass
 
-__all__ = ["TargetAnnouncement", "TargetLeft", "TargetRun"]
+__all__ = ["TargetHeartbeat", "LeaveNotice", "TargetInstance"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TargetRun:
+class TargetInstance:
     """One instance of a target, from its start to its end.
 
     A target may start again under the same identity.
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TargetAnnouncement:
+class TargetHeartbeat:
     """A heartbeat of a target.
 
     Attributes:
@@ -42,7 +42,7 @@
             ones.
     """
 
-    run: TargetRun
+    run: TargetInstance
     is_draining: bool
     slots: int
     cold_seconds: float
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TargetLeft:
+class LeaveNotice:
     """A leave message: the target is about to end."""
 
-    run: TargetRun
+    run: TargetInstance
--- a/monsoonpier/agent/packets/holder.py
+++ b/monsoonpier/agent/packets/holder.py
@@ -40,7 +40,7 @@
 )
 from monsoonpier.wire.packet import Packet, sequence_distance
 
-__all__ = ["PacketHolder"]
+__all__ = ["PacketFlowOwner"]
 
 ENDED_FLOW_SECONDS = 5.0  # last packets of an ended flow still reach the target
 HALF_OPEN_SECONDS = 3.0  # callers give up a SYN sooner
@@ -56,7 +56,7 @@
 MAX_PENDING_QUERIES = 256
 
 
-class PacketHolder:
+class PacketFlowOwner:
     """The flows of one target and the decisions on their packets. Does no I/O.
 
     Args:
@@ -147,7 +147,7 @@
         """Whether the target has been absent for so long that none is left."""
         return self.is_absent and self._target_state.knows_all_flows
 
-    def started(
+    def instance_started(
         self, instance: bytes, *, is_first: bool, is_young: bool = False, now: float
     ) -> list:
         """Record the target's instance; return resets for an earlier one's flows.
--- a/monsoonpier/agent/packets/process.py
+++ b/monsoonpier/agent/packets/process.py
@@ -13,8 +13,8 @@
     ToProcess,
     ToTarget,
 )
-from monsoonpier.agent.packets.announcement import TargetAnnouncement, TargetLeft
-from monsoonpier.agent.packets.holder import PacketHolder
+from monsoonpier.agent.packets.announcement import LeaveNotice, TargetHeartbeat
+from monsoonpier.agent.packets.holder import PacketFlowOwner
 from monsoonpier.agent.packets.liveness import TargetLiveness
 from monsoonpier.agent.packets.target_run import (
     InstanceHistory,
@@ -98,7 +98,7 @@
         self._started = time.monotonic()
         self._frame_codec = FrameCodec(keys=settings.keys)
         self._sender = LinkSender(bits_per_second=settings.link_bits_per_second)
-        self._holder = PacketHolder(
+        self._holder = PacketFlowOwner(
             name=settings.name,
             service=settings.target.service,
             slots=settings.target.slots,
@@ -218,16 +218,16 @@
 
     # Messages and liveness of the target
 
-    def take(self, message: TargetAnnouncement | TargetLeft) -> bool:
+    def take(self, message: TargetHeartbeat | LeaveNotice) -> bool:
         """Handle a message of the target; return whether to acknowledge it."""
         match message:
-            case TargetAnnouncement():
+            case TargetHeartbeat():
                 return self._handle_heartbeat(message)
-            case TargetLeft():
+            case LeaveNotice():
                 return self._handle_leave(message)
         return False
 
-    def _handle_heartbeat(self, heartbeat: TargetAnnouncement) -> bool:
+    def _handle_heartbeat(self, heartbeat: TargetHeartbeat) -> bool:
         """Apply a heartbeat unless it is stale; return that it is acknowledged."""
         holder = self._holder
         match self._instances.classify(heartbeat, has_ended=self._has_target_ended):
@@ -260,7 +260,7 @@
     def _has_target_ended(self) -> bool:
         return self._has_target_left or self._holder.condition is Condition.UNRESPONSIVE
 
-    def _begin_instance(self, heartbeat: TargetAnnouncement) -> None:
+    def _begin_instance(self, heartbeat: TargetHeartbeat) -> None:
         """Serve a new instance of the target and reset flows of the last one."""
         instance = heartbeat.run.instance
         _log.info(
@@ -272,7 +272,7 @@
         )
         self._has_target_left = False
         self._link.set_instance(instance, slots=heartbeat.slots)
-        resets = self._holder.started(
+        resets = self._holder.instance_started(
             instance,
             is_first=heartbeat.sequence <= 1,
             is_young=heartbeat.cold_seconds > 0,
@@ -281,7 +281,7 @@
         self._perform(resets)
         self._perform(self._holder.answer_pending(now=_now()))
 
-    def _handle_leave(self, notice: TargetLeft) -> bool:
+    def _handle_leave(self, notice: LeaveNotice) -> bool:
         """Stop taking new flows if the current instance of the target leaves."""
         instance = notice.run.instance.decode()
         if self._instances.is_current(notice.run):
@@ -378,7 +378,7 @@
             case Decline():
                 self._perform(self._holder.declined(balancer=sender, now=_now()))
             case HeartbeatAck():
-                self._link.acknowledged(frame)
+                self._link.handle_ack(frame)
                 self._apply_cold_limit(frame)
             case Dropped(reason=reason):
                 self._drop(reason)
--- a/monsoonpier/agent/packets/reservations.py
+++ b/monsoonpier/agent/packets/reservations.py
@@ -16,9 +16,9 @@
 
 from monsoonpier.model.target import QUEUE_AHEAD
 from monsoonpier.model.waiting import (
-    LATE_TURN,
+    LATE_TURN_INTERVAL,
     MARGIN_RUNS,
-    RESERVED_AT,
+    RESERVATIONS_PER_FLOW,
     WaitingFlow,
     WaitingQueue,
 )
@@ -115,7 +115,7 @@
         # The flow's first run starts after the one that now uses the slot.
         behind = QUEUE_AHEAD / slots / MARGIN_RUNS
         self._queue.sort_out(now=now, run_seconds=run_seconds * (1 + behind))
-        seconds_each = run_seconds / slots / RESERVED_AT
+        seconds_each = run_seconds / slots / RESERVATIONS_PER_FLOW
         is_late_turn = self._is_late_turn(seconds_each=seconds_each, now=now)
         waiting = self._queue.pop_for(is_late_turn=is_late_turn, answered_at=now)
         balancer = self._balancers_by_flow.pop(waiting.flow)
@@ -128,7 +128,7 @@
             return False
         needed = self._queue.needed_late_share(now=now, seconds_each=seconds_each)
         share = needed if needed <= MAX_LATE_SHARE else 0.0
-        self._late_credit += max(share, 1 / LATE_TURN)
+        self._late_credit += max(share, 1 / LATE_TURN_INTERVAL)
         is_due = self._late_credit >= 1
         self._late_credit -= int(is_due)
         return is_due
--- a/monsoonpier/agent/packets/target_run.py
+++ b/monsoonpier/agent/packets/target_run.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from monsoonpier.agent.packets.announcement import TargetAnnouncement, TargetRun
+from monsoonpier.agent.packets.announcement import TargetHeartbeat, TargetInstance
 
 __all__ = ["CurrentHeartbeat", "StaleHeartbeat", "NewInstance", "InstanceHistory"]
 
@@ -39,18 +39,18 @@
     """The current instance of the target and earlier ones. Does no I/O."""
 
     def __init__(self) -> None:
-        self._current: TargetRun | None = None
+        self._current: TargetInstance | None = None
         self._sequence = -1
-        self._previous: deque[TargetRun] = deque(maxlen=MAX_PREVIOUS_INSTANCES)
-        self._unconfirmed: TargetRun | None = None
+        self._previous: deque[TargetInstance] = deque(maxlen=MAX_PREVIOUS_INSTANCES)
+        self._unconfirmed: TargetInstance | None = None
         self._unconfirmed_sequences: set[int] = set()
 
-    def is_current(self, instance: TargetRun) -> bool:
+    def is_current(self, instance: TargetInstance) -> bool:
         """Return whether this is the current instance."""
         return instance == self._current
 
     def classify(
-        self, heartbeat: TargetAnnouncement, *, has_ended: bool
+        self, heartbeat: TargetHeartbeat, *, has_ended: bool
     ) -> NewInstance | CurrentHeartbeat | StaleHeartbeat:
         """Classify a heartbeat and record the instance that sent it.
 
@@ -74,7 +74,7 @@
         return NewInstance()
 
     def _classify_current(
-        self, heartbeat: TargetAnnouncement
+        self, heartbeat: TargetHeartbeat
     ) -> CurrentHeartbeat | StaleHeartbeat:
         if heartbeat.sequence <= self._sequence:
             return StaleHeartbeat()
@@ -82,14 +82,14 @@
         self._clear_unconfirmed()
         return CurrentHeartbeat()
 
-    def _is_newer(self, instance: TargetRun) -> bool:
+    def _is_newer(self, instance: TargetInstance) -> bool:
         """Return whether an instance reports a later start than the current."""
         current = self._current
         if current is None or current.born_ms is None:
             return True
         return instance.born_ms is not None and instance.born_ms > current.born_ms
 
-    def _is_confirmed(self, heartbeat: TargetAnnouncement) -> bool:
+    def _is_confirmed(self, heartbeat: TargetHeartbeat) -> bool:
         """Return whether an older-looking instance has sent several heartbeats.
 
         Heartbeats of any other instance in between start the count again.
--- a/monsoonpier/agent/tokens/holder.py
+++ b/monsoonpier/agent/tokens/holder.py
@@ -19,7 +19,7 @@
 from monsoonpier.model.keys import KeyRing
 from monsoonpier.model.service import Service
 from monsoonpier.model.target import LoadReport
-from monsoonpier.model.token import HolderToken, open_token, seal_token
+from monsoonpier.model.token import FlowToken, open_token, seal_token
 from monsoonpier.wire.codec import Dropped
 from monsoonpier.wire.datagrams import (
     Cancel,
@@ -58,7 +58,7 @@
     def __init__(
         self,
         *,
-        token: HolderToken,
+        token: FlowToken,
         keys: KeyRing,
         slots: int,
         connections: int,
--- a/monsoonpier/agent/tokens/process.py
+++ b/monsoonpier/agent/tokens/process.py
@@ -31,7 +31,7 @@
 from monsoonpier.model.service import Configuration
 from monsoonpier.model.settings import Settings
 from monsoonpier.model.target import Condition
-from monsoonpier.model.token import HolderToken
+from monsoonpier.model.token import FlowToken
 from monsoonpier.process.control import ControlServer, answer_drain
 from monsoonpier.process.frames import send_frame
 from monsoonpier.process.life import ProcessLife, run_until_left
@@ -75,7 +75,7 @@
         self._life = ProcessLife()
         self._started = time.monotonic()
         instance = os.urandom(INSTANCE_BYTES)
-        token = HolderToken(
+        token = FlowToken(
             service=settings.target.service,
             ip=settings.internal.ip,
             port=settings.internal.port,
@@ -293,7 +293,7 @@
     def _handle_heartbeat_ack(self, ack: HeartbeatAck) -> None:
         """Handle a heartbeat's reply; drain while the target is not allowed."""
         previous = self._owner.life.label
-        self._is_allowed = self._link.acknowledged(ack)
+        self._is_allowed = self._link.handle_ack(ack)
         if not self._is_allowed:
             self._execute(self._owner.leave(now=_now()))
         self._announce_if_changed(previous)
--- a/monsoonpier/agent/witnesses.py
+++ b/monsoonpier/agent/witnesses.py
@@ -6,7 +6,7 @@
 from monsoonpier.model.rendezvous import top
 from monsoonpier.wire.frames import BalancerRecord, HeartbeatAck
 
-__all__ = ["Witnesses"]
+__all__ = ["HeartbeatPeers"]
 
 PEER_COUNT = 3
 MAX_MISSED_HEARTBEATS = 3  # without a response, then another balancer is selected
@@ -31,7 +31,7 @@
     has_record: bool = False
 
 
-class Witnesses:
+class HeartbeatPeers:
     """The balancers that an agent has records of, by name. Does no I/O."""
 
     def __init__(self, *, target: str) -> None:
@@ -93,7 +93,7 @@
         if ack.leaving:
             del self._peers_by_name[ack.balancer]
 
-    def epoch_beyond(self, ack: HeartbeatAck, *, epoch: int) -> int | None:
+    def next_epoch(self, ack: HeartbeatAck, *, epoch: int) -> int | None:
         """Return the epoch to use if a balancer has a later one of this agent."""
         return ack.held_epoch + 1 if ack.held_epoch > epoch else None
 
--- a/monsoonpier/balancer/packets/reservations.py
+++ b/monsoonpier/balancer/packets/reservations.py
@@ -21,7 +21,7 @@
 from monsoonpier.balancer.packets.waiting import ServiceQueues
 from monsoonpier.balancer.steering import Candidate
 from monsoonpier.model.target import QUEUE_AHEAD
-from monsoonpier.model.waiting import MARGIN_RUNS, RESERVED_AT
+from monsoonpier.model.waiting import MARGIN_RUNS, RESERVATIONS_PER_FLOW
 from monsoonpier.wire.frames import Decline, Offer, Reserve
 
 __all__ = ["SlotReservations"]
@@ -65,7 +65,7 @@
         if not self._is_enabled:
             return []
         return self._reserve(
-            flow, service=service, count=RESERVED_AT, now=now, draw=draw
+            flow, service=service, count=RESERVATIONS_PER_FLOW, now=now, draw=draw
         )
 
     def renew(self, *, now: float, draw: random.Random) -> list[ToAgent]:
--- a/monsoonpier/model/token.py
+++ b/monsoonpier/model/token.py
@@ -4,12 +4,12 @@
 
 from monsoonpier.model.keys import TOKEN, KeyRing
 
-__all__ = ["HolderToken", "open_token", "seal_token"]
+__all__ = ["FlowToken", "open_token", "seal_token"]
 
 MAX_TOKEN_BYTES = 160
 
 
-class HolderToken(msgspec.Struct, frozen=True, kw_only=True, array_like=True, gc=False):
+class FlowToken(msgspec.Struct, frozen=True, kw_only=True, array_like=True, gc=False):
     """The service, address and instance of the agent that owns a flow.
 
     Attributes:
@@ -39,15 +39,15 @@
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(HolderToken).decode
+_decode = msgspec.msgpack.Decoder(FlowToken).decode
 
 
-def seal_token(token: HolderToken, *, flow: bytes, keys: KeyRing) -> bytes:
+def seal_token(token: FlowToken, *, flow: bytes, keys: KeyRing) -> bytes:
     """Return the signed token, valid only for this flow id (16 bytes)."""
     return keys.seal(_encode(token), purpose=TOKEN, bound_to=flow)
 
 
-def open_token(sealed: bytes, *, flow: bytes, keys: KeyRing) -> HolderToken | None:
+def open_token(sealed: bytes, *, flow: bytes, keys: KeyRing) -> FlowToken | None:
     """Return the token, or ``None`` if it is invalid or for another flow."""
     body = keys.unseal(sealed, purpose=TOKEN, bound_to=flow)
     if body is None:
--- a/monsoonpier/model/waiting.py
+++ b/monsoonpier/model/waiting.py
@@ -12,12 +12,18 @@
 from dataclasses import dataclass
 from operator import attrgetter
 
-__all__ = ["LATE_TURN", "MARGIN_RUNS", "RESERVED_AT", "WaitingFlow", "WaitingQueue"]
-
-LATE_TURN = 16  # one slot in so many goes to a late flow, so that none starves
+__all__ = [
+    "LATE_TURN_INTERVAL",
+    "MARGIN_RUNS",
+    "RESERVATIONS_PER_FLOW",
+    "WaitingFlow",
+    "WaitingQueue",
+]
+
+LATE_TURN_INTERVAL = 16  # one slot in so many goes to a late flow, so that none starves
 # The number of agents at which a waiting flow reserves a slot, since one of
 # them may end. Balancers and agents must use the same value.
-RESERVED_AT = 2
+RESERVATIONS_PER_FLOW = 2
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -160,7 +166,7 @@
     @property
     def is_late_turn(self) -> bool:
         """Whether `pop` would return a late flow."""
-        is_turn = (self._turn + 1) % LATE_TURN == 0
+        is_turn = (self._turn + 1) % LATE_TURN_INTERVAL == 0
         return bool(self._late) and (is_turn or not self.timely)
 
     def pop(self) -> WaitingFlow:
--- a/monsoonpier/platform/targets.py
+++ b/monsoonpier/platform/targets.py
@@ -8,9 +8,9 @@
 import structlog
 
 from monsoonpier.agent.packets.announcement import (
-    TargetAnnouncement,
-    TargetLeft,
-    TargetRun,
+    LeaveNotice,
+    TargetHeartbeat,
+    TargetInstance,
 )
 from monsoonpier.http import Request, Response
 
@@ -60,7 +60,7 @@
         self,
         *,
         service: str,
-        handler: Callable[[TargetAnnouncement | TargetLeft], bool],
+        handler: Callable[[TargetHeartbeat | LeaveNotice], bool],
     ) -> None:
         self._service = service
         self._handler = handler
@@ -86,8 +86,8 @@
             return self._reject("another service", identity, detail=body.service)
         if not _is_identity(identity):
             return self._reject("no identity", identity)
-        announcement = TargetAnnouncement(
-            run=TargetRun(identity=identity, born_ms=body.born),
+        announcement = TargetHeartbeat(
+            run=TargetInstance(identity=identity, born_ms=body.born),
             is_draining=body.state == _DRAINING,
             slots=body.slots,
             cold_seconds=body.cold_remaining_ms / 1000,
@@ -100,7 +100,7 @@
             body = msgspec.json.decode(data or b"{}", type=_Leave)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             return self._reject("not a farewell", identity, detail=str(error))
-        left = TargetLeft(run=TargetRun(identity=identity, born_ms=body.born))
+        left = LeaveNotice(run=TargetInstance(identity=identity, born_ms=body.born))
         return _response(accepted=self._handler(left))
 
     def _reject(self, reason: str, identity: str, *, detail: str = "") -> Response:
--- a/standins/packets/simulation.py
+++ b/standins/packets/simulation.py
@@ -19,7 +19,7 @@
     ToProcess,
     ToTarget,
 )
-from monsoonpier.agent.packets.holder import PacketHolder
+from monsoonpier.agent.packets.holder import PacketFlowOwner
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.balancer.packets import openings
@@ -165,7 +165,7 @@
 @dataclass(slots=True, kw_only=True)
 class _Target:
     number: int
-    holder: PacketHolder
+    holder: PacketFlowOwner
     running: int = 0
     waiting: list = field(default_factory=list)
     received: set = field(default_factory=set)
@@ -280,14 +280,14 @@
             )
 
     def _target(self, number: int, *, slots: int, log: DecisionLog) -> _Target:
-        owner = PacketHolder(
+        owner = PacketFlowOwner(
             name=f"maps-{number}",
             service="maps",
             slots=slots,
             connections=2000,
             log=log,
         )
-        owner.started(b"i-1", is_first=True, now=self.now)
+        owner.instance_started(b"i-1", is_first=True, now=self.now)
         owner.condition = Condition.SERVING
         return _Target(number=number, holder=owner)
 
--- a/tests/agent/test_named_cases.py
+++ b/tests/agent/test_named_cases.py
@@ -16,7 +16,7 @@
 from monsoonpier.agent.tokens.condition import TargetLifecycle
 from monsoonpier.agent.tokens.requests import MAX_KEPT_BYTES, WINDOW
 from monsoonpier.model.target import Condition
-from monsoonpier.model.token import HolderToken, open_token, seal_token
+from monsoonpier.model.token import FlowToken, open_token, seal_token
 from monsoonpier.wire.datagrams import (
     MIN_OPEN_BYTES,
     AnswerPart,
@@ -290,7 +290,7 @@
     def test_token_names_other_service(self):
         """A valid token of another service is rejected."""
         agent = AgentHarness()
-        other = HolderToken(
+        other = FlowToken(
             service="logs",
             ip="10.1.0.1",
             port=9000,
@@ -313,7 +313,7 @@
 
     def test_token_is_bound(self):
         """A token is valid for its own flow only."""
-        token = HolderToken(service="maps", ip="10.1.0.1", port=1, instance=b"i" * 8)
+        token = FlowToken(service="maps", ip="10.1.0.1", port=1, instance=b"i" * 8)
         sealed = seal_token(token, flow=FLOW, keys=KEYS)
         self.assertEqual(open_token(sealed, flow=FLOW, keys=KEYS), token)
         self.assertIsNone(open_token(sealed, flow=b"g" * 16, keys=KEYS))
--- a/tests/agent/test_witnesses.py
+++ b/tests/agent/test_witnesses.py
@@ -5,7 +5,7 @@
 from monsoonpier.agent.witnesses import (
     MAX_MISSED_HEARTBEATS,
     PEER_COUNT,
-    Witnesses,
+    HeartbeatPeers,
 )
 from monsoonpier.wire.frames import HeartbeatAck
 from tests.rig import balancer
@@ -14,13 +14,13 @@
 class HeartbeatPeersTests(unittest.TestCase):
     """A few balancers are selected, and dead ones replaced."""
 
-    def _known(self, count: int, target: str = "maps-1") -> Witnesses:
-        witnesses = Witnesses(target=target)
+    def _known(self, count: int, target: str = "maps-1") -> HeartbeatPeers:
+        witnesses = HeartbeatPeers(target=target)
         for number in range(1, count + 1):
             witnesses.learn(balancer(f"b{number}", host=number).peers.own)
         return witnesses
 
-    def _ack(self, witnesses: Witnesses, name: str, **more) -> None:
+    def _ack(self, witnesses: HeartbeatPeers, name: str, **more) -> None:
         fields = {"balancer": name, "version": 1, "known": True, "allowed": True}
         witnesses.record_ack(HeartbeatAck(**fields | more), now=1.0)
 
--- a/tests/balancer/test_clocks.py
+++ b/tests/balancer/test_clocks.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from monsoonpier.agent.witnesses import Witnesses
+from monsoonpier.agent.witnesses import HeartbeatPeers
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.model.target import Condition
 from monsoonpier.wire.frames import Announce, BalancerRecord, Gossip, HeartbeatAck
@@ -43,12 +43,12 @@
 
     def test_agent_raises_its_epoch(self) -> None:
         """An agent raises its epoch above the one that a balancer knows."""
-        witnesses = Witnesses(target="maps-1")
+        witnesses = HeartbeatPeers(target="maps-1")
         ack = HeartbeatAck(
             balancer="lb-1", version=1, known=True, allowed=True, held_epoch=500
         )
-        self.assertEqual(witnesses.epoch_beyond(ack, epoch=400), 501)
-        self.assertIsNone(witnesses.epoch_beyond(ack, epoch=500))
+        self.assertEqual(witnesses.next_epoch(ack, epoch=400), 501)
+        self.assertIsNone(witnesses.next_epoch(ack, epoch=500))
 
     def test_balancer_raises_its_epoch(self) -> None:
         """A restarted balancer raises its epoch above that of its earlier record."""
--- a/tests/balancer/test_decision.py
+++ b/tests/balancer/test_decision.py
@@ -10,7 +10,7 @@
 from monsoonpier.model.keys import Key, KeyRing
 from monsoonpier.model.service import Configuration
 from monsoonpier.model.target import Condition, LoadReport
-from monsoonpier.model.token import HolderToken, seal_token
+from monsoonpier.model.token import FlowToken, seal_token
 from monsoonpier.wire.datagrams import (
     MIN_OPEN_BYTES,
     Open,
@@ -52,7 +52,7 @@
 
 def token_packet(*, flow: bytes = FLOW, of: str = "maps", keys=KEYS) -> bytes:
     """Return a packet of an established flow."""
-    token = HolderToken(service=of, ip="10.1.0.7", port=9000, instance=b"i" * 8)
+    token = FlowToken(service=of, ip="10.1.0.7", port=9000, instance=b"i" * 8)
     sealed = seal_token(token, flow=flow, keys=keys)
     return caller_codec.encode(Ping(flow=FLOW, token=sealed, acked=1))
 
--- a/tests/balancer/test_evacuation.py
+++ b/tests/balancer/test_evacuation.py
@@ -19,7 +19,7 @@
 from monsoonpier.store.keys import CONFIGURATION, CONFIGURATION_COPY, EVACUATIONS
 from monsoonpier.wire.frames import Carry, FrameCodec, Gossip, HeartbeatAck
 from standins.fake_store import FakeStore
-from tests.packets.rig import OWN, SETTLED, SteeringRig, packet, record
+from tests.packets.rig import CONVERGED, OWN, SteeringRig, packet, record
 from tests.rig import KEYS, balancer
 
 HERE = OWN.data_centre
@@ -170,7 +170,7 @@
         def receive(report: Evacuation) -> None:
             gossip = Gossip(sender=peer, version=1, digest=b"", evacuations=(report,))
             rig.membership.from_process(
-                gossip, sender=peer.endpoint, now=SETTLED, draw=rig.draw
+                gossip, sender=peer.endpoint, now=CONVERGED, draw=rig.draw
             )
 
         receive(order(5))
@@ -186,17 +186,17 @@
         peer = msgspec.structs.replace(OWN, name="lb-2", ip="10.1.0.2")
         rig.membership.peers.learn(peer)
         self._evacuate(rig, order(5))
-        (action,) = rig.membership.gossip_round(now=SETTLED, draw=rig.draw)
+        (action,) = rig.membership.gossip_round(now=CONVERGED, draw=rig.draw)
         self.assertEqual(action.frame.evacuations, (order(5),))
 
     def test_agents_told(self):
         """Affected agents that send heartbeats here are informed at once."""
         rig = self._rig()
         for name in ("maps-1", "maps-3"):
-            load = rig.membership.table.candidates_of("maps", now=SETTLED)[0].load
-            rig.membership.table.record_heartbeat(name, load, now=SETTLED)
+            load = rig.membership.table.candidates_of("maps", now=CONVERGED)[0].load
+            rig.membership.table.record_heartbeat(name, load, now=CONVERGED)
         self._evacuate(rig, order(5))
-        (action,) = rig.membership.evacuation_acks(order(5), now=SETTLED)
+        (action,) = rig.membership.evacuation_acks(order(5), now=CONVERGED)
         self.assertEqual(action.endpoint[0], "10.2.0.1")
         self.assertIsInstance(action.frame, HeartbeatAck)
         self.assertEqual(action.frame.evacuation, order(5))
--- a/tests/model/test_waiting.py
+++ b/tests/model/test_waiting.py
@@ -3,7 +3,7 @@
 import unittest
 
 from monsoonpier.model.waiting import (
-    LATE_TURN,
+    LATE_TURN_INTERVAL,
     MARGIN_RUNS,
     WaitingFlow,
     WaitingQueue,
@@ -72,7 +72,7 @@
         """One slot in `LATE_TURN` is for a late flow, however many are in time."""
         self.add(waiting("late", aim=0.0))
         self.add(*(waiting(f"t{n}", aim=1.0 + n) for n in range(50)))
-        self.assertEqual(self.order().index("late"), LATE_TURN - 1)
+        self.assertEqual(self.order().index("late"), LATE_TURN_INTERVAL - 1)
 
     def test_expired(self) -> None:
         """Flows whose callers give up leave the queue."""
--- a/tests/packets/rig.py
+++ b/tests/packets/rig.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from monsoonpier.agent.packets.holder import PacketHolder
+from monsoonpier.agent.packets.holder import PacketFlowOwner
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.balancer.packets.scope import ResetCaller
@@ -23,7 +23,7 @@
 BALANCER = ("10.1.0.1", 7720)
 OTHER_BALANCER = ("10.1.0.2", 7720)
 TARGET_SEQUENCE = 5_000
-SETTLED = 100.0  # a time at which a balancer that started at 0 has converged
+CONVERGED = 100.0  # a time at which a balancer that started at 0 has converged
 
 
 def packet(
@@ -150,7 +150,7 @@
                 found |= set(action.frame.endpoints)
         return found
 
-    def caller(self, sent: Packet, *, now: float = SETTLED) -> list:
+    def caller(self, sent: Packet, *, now: float = CONVERGED) -> list:
         """Return the actions for a caller's packet."""
         return self.steering.from_caller(sent, now=now, draw=self.draw)
 
@@ -159,7 +159,7 @@
         frame,
         sent: Packet | None = None,
         *,
-        now: float = SETTLED,
+        now: float = CONVERGED,
         sender: tuple[str, int] = ("10.2.0.2", 7720),
     ) -> list:
         """Return the actions for a frame of another process."""
@@ -189,12 +189,12 @@
     return LoadReport(**{"number": number, "condition": Condition.SERVING} | fields)
 
 
-def holder(*, slots: int = 2, is_first: bool = True) -> PacketHolder:
+def holder(*, slots: int = 2, is_first: bool = True) -> PacketFlowOwner:
     """Return the packet logic of an agent whose target serves."""
-    made = PacketHolder(
+    made = PacketFlowOwner(
         name="maps-1", service="maps", slots=slots, connections=100, log=LOG
     )
-    made.started(b"i-1", is_first=is_first, now=0.0)
+    made.instance_started(b"i-1", is_first=is_first, now=0.0)
     made.condition = Condition.SERVING
     return made
 
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -13,8 +13,8 @@
 from standins.packets.simulation import Simulation, World
 from tests.packets.rig import (
     BALANCER,
+    CONVERGED,
     OTHER_BALANCER,
-    SETTLED,
     SteeringRig,
     answer,
     frames,
@@ -170,15 +170,15 @@
 
     def test_not_sent_elsewhere(self) -> None:
         """While it waits, it and its retransmissions go to no other target."""
-        self.assertEqual(self.retry(now=SETTLED + 0.2), [])
+        self.assertEqual(self.retry(now=CONVERGED + 0.2), [])
         copy = replace(packet(syn=True), waited=0.2)
-        actions = self.rig.caller(copy, now=SETTLED + 0.2)
+        actions = self.rig.caller(copy, now=CONVERGED + 0.2)
         self.assertEqual(self.rig.names(actions), [self.first])
 
     def test_unresponsive_agent(self) -> None:
         """After a timeout, its agent may have ended, so it goes to another target."""
-        self.assertEqual(self.retry(now=SETTLED + 0.1), [])
-        self.assertEqual(self.retry(now=SETTLED + 0.75), [self.other])
+        self.assertEqual(self.retry(now=CONVERGED + 0.1), [])
+        self.assertEqual(self.retry(now=CONVERGED + 0.75), [self.other])
 
     def test_rejected(self) -> None:
         """A SYN that the agent rejects goes to another target at once."""
@@ -223,17 +223,17 @@
         """Of two waiting flows, the one that was rejected before is placed last."""
         rig = SteeringRig(targets=1)
         full = {"in_flight": 2, "queued": 1}
-        rig.report("maps-1", now=SETTLED, **full)
-        rig.caller(packet(1, syn=True), now=SETTLED)
-        rig.report("maps-1", now=SETTLED + 1.29, **full)
-        late = rig.steering.retry(now=SETTLED + 1.31, draw=rig.draw)
+        rig.report("maps-1", now=CONVERGED, **full)
+        rig.caller(packet(1, syn=True), now=CONVERGED)
+        rig.report("maps-1", now=CONVERGED + 1.29, **full)
+        late = rig.steering.retry(now=CONVERGED + 1.31, draw=rig.draw)
         self.assertEqual(resets(late), ["no slot came free"])
         again, new = packet(2, syn=True), packet(3, syn=True)
-        rig.caller(again, now=SETTLED + 1.32)
+        rig.caller(again, now=CONVERGED + 1.32)
         other = replace(new, caller_ip="100.64.0.8")
-        rig.caller(other, now=SETTLED + 1.33)
-        rig.report("maps-1", now=SETTLED + 1.34, in_flight=2)
-        actions = rig.steering.retry(now=SETTLED + 1.34, draw=rig.draw)
+        rig.caller(other, now=CONVERGED + 1.33)
+        rig.report("maps-1", now=CONVERGED + 1.34, in_flight=2)
+        actions = rig.steering.retry(now=CONVERGED + 1.34, draw=rig.draw)
         self.assertEqual([a.frame.payload for a in actions], [other.raw])
 
 
--- a/tests/packets/test_agent_process.py
+++ b/tests/packets/test_agent_process.py
@@ -8,9 +8,9 @@
 
 from monsoonpier.agent.packets import process as agent_process
 from monsoonpier.agent.packets.announcement import (
-    TargetAnnouncement,
-    TargetLeft,
-    TargetRun,
+    LeaveNotice,
+    TargetHeartbeat,
+    TargetInstance,
 )
 from monsoonpier.agent.packets.process import PacketAgentProcess
 from monsoonpier.model.address import Address
@@ -49,19 +49,19 @@
 
 def heartbeat(
     *, instance: str = "i-1", born: int | None = None, **fields
-) -> TargetAnnouncement:
+) -> TargetHeartbeat:
     defaults = {
-        "run": TargetRun(identity=instance, born_ms=born),
+        "run": TargetInstance(identity=instance, born_ms=born),
         "is_draining": False,
         "slots": 3,
         "cold_seconds": 0.0,
         "sequence": 1,
     }
-    return TargetAnnouncement(**defaults | fields)
+    return TargetHeartbeat(**defaults | fields)
 
 
-def farewell(instance: str, *, born: int | None = None) -> TargetLeft:
-    return TargetLeft(run=TargetRun(identity=instance, born_ms=born))
+def farewell(instance: str, *, born: int | None = None) -> LeaveNotice:
+    return LeaveNotice(run=TargetInstance(identity=instance, born_ms=born))
 
 
 class TargetMessageTests(unittest.IsolatedAsyncioTestCase):
--- a/tests/packets/test_caller_waits.py
+++ b/tests/packets/test_caller_waits.py
@@ -15,7 +15,7 @@
 from monsoonpier.model.waiting_summary import WaitingSummary
 from monsoonpier.process.exposition import expose
 from monsoonpier.wire.frames import Held
-from tests.packets.rig import SERVICE, SETTLED, SteeringRig, load, packet, replace
+from tests.packets.rig import CONVERGED, SERVICE, SteeringRig, load, packet, replace
 
 AIM_SECONDS = 0.2
 OTHER_SERVICE = Address(ip="198.18.0.2", port=8443)
@@ -35,9 +35,9 @@
 
     def setUp(self) -> None:
         self.rig = SteeringRig(targets=1)
-        self.rig.report("maps-1", now=SETTLED, in_flight=9, service_ms=40)
+        self.rig.report("maps-1", now=CONVERGED, in_flight=9, service_ms=40)
         for number in (1, 2, 3):
-            self.ask(number, now=SETTLED + number / 10)
+            self.ask(number, now=CONVERGED + number / 10)
 
     def ask(self, number: int, *, now: float) -> list:
         return self.rig.caller(packet(number, syn=True), now=now)
@@ -48,7 +48,7 @@
 
     def test_waiting(self) -> None:
         """Queued flows are counted as in time or late, with the longest wait."""
-        found = self.summary(now=SETTLED + 0.35)
+        found = self.summary(now=CONVERGED + 0.35)
         self.assertEqual((found.service, found.priority), ("maps", 0))
         self.assertEqual((found.in_time, found.late, found.asked), (1, 2, 3))
         self.assertAlmostEqual(found.oldest_seconds, 0.25)
@@ -58,45 +58,45 @@
 
     def test_served(self) -> None:
         """An accepted flow counts once, with its wait since the first attempt."""
-        self.rig.report("maps-1", now=SETTLED + 0.4, in_flight=0)
-        self.rig.steering.retry(now=SETTLED + 0.4, draw=self.rig.draw)
+        self.rig.report("maps-1", now=CONVERGED + 0.4, in_flight=0)
+        self.rig.steering.retry(now=CONVERGED + 0.4, draw=self.rig.draw)
         for is_open in (False, False, True):
             held = Held(
                 flow=packet(3).flow, agent="maps-1", load=load(9), is_open=is_open
             )
-            self.rig.agent(held, now=SETTLED + 0.45)
-        found = self.summary(now=SETTLED + 0.45)
+            self.rig.agent(held, now=CONVERGED + 0.45)
+        found = self.summary(now=CONVERGED + 0.45)
         self.assertEqual(found.served_by_data_centre, {"dc-1": 1})
         self.assertAlmostEqual(found.wait_seconds, 0.15)
         self.assertEqual(found.served_late, 0)
 
     def test_refused(self) -> None:
         """Rejected flows are counted by reason, in total and recently."""
-        self.rig.steering.retry(now=SETTLED + 2.0, draw=self.rig.draw)
-        found = self.summary(now=SETTLED + 2.0)
+        self.rig.steering.retry(now=CONVERGED + 2.0, draw=self.rig.draw)
+        found = self.summary(now=CONVERGED + 2.0)
         self.assertEqual(found.waiting, 0)
         self.assertEqual(found.refused_by_reason, {"no slot came free": 3})
         self.assertAlmostEqual(found.lately.refused, 3.0)
-        self.assertLess(self.summary(now=SETTLED + 60.0).lately.refused, 0.1)
+        self.assertLess(self.summary(now=CONVERGED + 60.0).lately.refused, 0.1)
 
     def test_copy(self) -> None:
         """A retransmission that is not placed is not counted as rejected."""
         copy = replace(packet(4, syn=True), waited=0.2)
-        self.rig.caller(copy, now=SETTLED + 0.4)
-        self.rig.steering.retry(now=SETTLED + 2.0, draw=self.rig.draw)
-        found = self.summary(now=SETTLED + 2.0)
+        self.rig.caller(copy, now=CONVERGED + 0.4)
+        self.rig.steering.retry(now=CONVERGED + 2.0, draw=self.rig.draw)
+        found = self.summary(now=CONVERGED + 2.0)
         self.assertEqual((found.asked, found.refused), (4, 3))
 
     def test_without_its_route(self) -> None:
         """A service without a route is dropped from the summaries."""
         self.rig.configure(version=2, service="logs")
-        self.assertEqual(self.rig.steering.waiting_summaries(now=SETTLED + 1.0), ())
+        self.assertEqual(self.rig.steering.waiting_summaries(now=CONVERGED + 1.0), ())
 
     def test_lines(self) -> None:
         """One log line per interval has the queued flows and the changes since."""
         with mock.patch.object(self.rig.steering._context.log, "note") as note:
             for seconds in (0.0, LOG_INTERVAL_SECONDS - 0.1, LOG_INTERVAL_SECONDS):
-                self.rig.steering.retry(now=SETTLED + seconds, draw=self.rig.draw)
+                self.rig.steering.retry(now=CONVERGED + seconds, draw=self.rig.draw)
         (line,) = [c for c in note.call_args_list if c.args == ("callers wait",)]
         self.assertEqual(line.kwargs["refused"], {"no slot came free": 3})
         self.assertEqual(line.kwargs["asked"], 3)
@@ -138,5 +138,5 @@
         rig.steering.configured()
         for number, address in ((1, SERVICE), (2, OTHER_SERVICE), (3, OTHER_SERVICE)):
             rig.caller(packet(number, syn=True, address=address))
-        found = rig.steering.waiting_summaries(now=SETTLED)
+        found = rig.steering.waiting_summaries(now=CONVERGED)
         self.assertEqual([(s.priority, s.asked) for s in found], [(0, 1), (1, 2)])
--- a/tests/packets/test_directory.py
+++ b/tests/packets/test_directory.py
@@ -6,7 +6,7 @@
 from monsoonpier.balancer.packets.directory import MAX_OWNERS, OwnerDirectory
 from monsoonpier.model.target import Condition
 from monsoonpier.wire.frames import BalancerRecord, Carry, Find, Held, NotHeld, Register
-from tests.packets.rig import SETTLED, SteeringRig, load, packet, record as target
+from tests.packets.rig import CONVERGED, SteeringRig, load, packet, record as target
 
 
 def record(number: int, *, data_centre: str = "dc-1") -> BalancerRecord:
@@ -69,7 +69,7 @@
 
     def test_moved_flow_goes_straight_to_its_holder(self) -> None:
         """A moved flow's packet is sent to its owner's agent only."""
-        self.group.opened(self.first, 1, now=SETTLED)
+        self.group.opened(self.first, 1, now=CONVERGED)
         for endpoint in self.others:
             sent = packet(1, size=10)
             self.assertEqual(self.carried(endpoint, sent, now=200.0), ["maps-2"])
@@ -82,7 +82,7 @@
 
     def test_keepers_that_do_not_answer(self) -> None:
         """The agents are queried after 30 ms if the directory doesn't reply."""
-        self.group.opened(self.first, 1, now=SETTLED)
+        self.group.opened(self.first, 1, now=CONVERGED)
         for endpoint in self.others:
             self.group.cut_off = set(self.group.rigs) - {endpoint}
             rig = self.group.rigs[endpoint]
@@ -94,7 +94,7 @@
 
     def test_packets_wait_for_the_answer(self) -> None:
         """Packets buffered during the query are forwarded once, in order."""
-        self.group.opened(self.first, 1, now=SETTLED)
+        self.group.opened(self.first, 1, now=CONVERGED)
         self.group.cut_off = set(self.group.rigs)
         for endpoint in self.others:
             rig = self.group.rigs[endpoint]
@@ -113,7 +113,7 @@
 
     def test_stale_entry(self) -> None:
         """When the registered owner denies the flow, the other agents are queried."""
-        self.group.opened(self.first, 1, now=SETTLED)
+        self.group.opened(self.first, 1, now=CONVERGED)
         rig = self.group.rigs[self.others[0]]
         sent = packet(1, size=10)
         self.carried(self.others[0], sent, now=200.0)
@@ -124,7 +124,7 @@
 
     def test_kept_holder_has_ended(self) -> None:
         """The agents are queried if the registered owner has ended."""
-        self.group.opened(self.first, 1, now=SETTLED)
+        self.group.opened(self.first, 1, now=CONVERGED)
         for endpoint in self.others:
             gone = target("maps-2", host=2, epoch=2, condition=Condition.GONE)
             self.group.rigs[endpoint].learn(gone)
@@ -136,9 +136,9 @@
         rig = self.group.rigs[self.first]
         flow = packet(1).flow
         held = Held(flow=flow, agent="maps-2", load=load(), is_open=True)
-        rig.agent(held, now=SETTLED)
-        rig.caller(packet(1, fin=True), now=SETTLED + 0.1)
-        actions = rig.steering.retry(now=SETTLED + 1, draw=rig.draw)
+        rig.agent(held, now=CONVERGED)
+        rig.caller(packet(1, fin=True), now=CONVERGED + 0.1)
+        actions = rig.steering.retry(now=CONVERGED + 1, draw=rig.draw)
         found = [a for a in actions if isinstance(getattr(a, "frame", None), Register)]
         self.assertEqual(found, [])
 
--- a/tests/packets/test_evidence.py
+++ b/tests/packets/test_evidence.py
@@ -11,7 +11,7 @@
 from monsoonpier.platform.packets import PlatformPackets
 from standins.packets.wire import ACK, Segment
 from tests.packets.rig import (
-    SETTLED,
+    CONVERGED,
     SteeringRig,
     answer,
     carry,
@@ -147,9 +147,9 @@
     def test_excluded(self) -> None:
         """New flows wait for a healthy target rather than go to a failing one."""
         rig = SteeringRig(targets=3)
-        rig.report("maps-1", now=SETTLED, failed_percent=80)
+        rig.report("maps-1", now=CONVERGED, failed_percent=80)
         for name in ("maps-2", "maps-3"):
-            rig.report(name, now=SETTLED, in_flight=3)
+            rig.report(name, now=CONVERGED, in_flight=3)
         self.assertEqual(rig.names(rig.caller(packet(syn=True))), [])
         self.assertTrue(rig.steering.is_waiting)
 
@@ -157,15 +157,15 @@
         """When many targets fail, only the worst quarter is excluded."""
         rig = SteeringRig(targets=8)
         for number in range(1, 9):
-            rig.report(f"maps-{number}", now=SETTLED, failed_percent=40 + number)
-        candidates = rig.membership.table.candidates_of("maps", now=SETTLED)
+            rig.report(f"maps-{number}", now=CONVERGED, failed_percent=40 + number)
+        candidates = rig.membership.table.candidates_of("maps", now=CONVERGED)
         names = {c.record.name for c in reliable(candidates)}
         self.assertEqual(names, {f"maps-{n}" for n in range(1, 7)})
 
     def test_retried(self) -> None:
         """A balancer without new reports tries the target again."""
         rig = SteeringRig(targets=1)
-        rig.report("maps-1", now=SETTLED, failed_percent=80)
+        rig.report("maps-1", now=CONVERGED, failed_percent=80)
         table = rig.membership.table
         self.assertTrue(table.candidates_of("maps", now=105.0)[0].load.failed_percent)
         self.assertFalse(table.candidates_of("maps", now=111.0)[0].load.failed_percent)
--- a/tests/packets/test_first_asked.py
+++ b/tests/packets/test_first_asked.py
@@ -11,11 +11,11 @@
 )
 from monsoonpier.wire.frames import Carry, FirstAsked, Refused, Turned, WhenAsked
 from standins.packets.simulation import Simulation, World
-from tests.packets.rig import SERVICE, SETTLED, load, packet, replace, resets
+from tests.packets.rig import CONVERGED, SERVICE, load, packet, replace, resets
 from tests.packets.test_directory import _Group
 
 FULL = {"in_flight": 2, "queued": 1}
-BACK = SETTLED + 1.32
+BACK = CONVERGED + 1.32
 ANSWER = FirstAsked(flow=packet(1).flow, asked_ms=2_500)
 
 
@@ -54,8 +54,8 @@
 
     def placed_first(self) -> bytes:
         """Reject a caller; return the SYN placed first at the other balancer."""
-        self.take(self.first, 1, now=SETTLED)
-        late = self.retry(self.first, now=SETTLED + 1.31)
+        self.take(self.first, 1, now=CONVERGED)
+        late = self.retry(self.first, now=CONVERGED + 1.31)
         self.assertEqual(resets(late), ["no slot came free"])
         self.take(self.next, 2, now=BACK)
         self.take(self.next, 3, caller=8, now=BACK)
@@ -76,9 +76,9 @@
         """The first attempt is queried once, and only for queued flows."""
         (placed,) = self.group.rigs[self.next].caller(syn(9))
         self.assertIsInstance(placed.frame, Carry)
-        self.take(self.first, 1, now=SETTLED)
-        self.rig.report("maps-1", now=SETTLED, in_flight=2)
-        (placed,) = self.retry(self.first, now=SETTLED + 0.01)
+        self.take(self.first, 1, now=CONVERGED)
+        self.rig.report("maps-1", now=CONVERGED, in_flight=2)
+        (placed,) = self.retry(self.first, now=CONVERGED + 0.01)
         turned = Turned(
             agent="maps-1",
             payload=syn(1).raw,
@@ -86,14 +86,14 @@
             reason="no slot is free",
             load=load(number=90, **FULL),
         )
-        self.assertEqual(self.rig.agent(turned, syn(1), now=SETTLED + 0.02), [])
+        self.assertEqual(self.rig.agent(turned, syn(1), now=CONVERGED + 0.02), [])
 
     def test_it_waits_no_longer_than_it_is_there(self) -> None:
         """A returning caller's wait is limited by its original timeout."""
         self.assertEqual(self.rig.agent(ANSWER), [])  # for a flow that is gone
-        self.take(self.first, 1, now=SETTLED)
+        self.take(self.first, 1, now=CONVERGED)
         self.rig.agent(ANSWER)
-        late = self.retry(self.first, now=SETTLED + 0.41)
+        late = self.retry(self.first, now=CONVERGED + 0.41)
         self.assertEqual(resets(late), ["no slot came free"])
 
 
--- a/tests/packets/test_holder.py
+++ b/tests/packets/test_holder.py
@@ -7,7 +7,7 @@
     ToCallerPacket,
     ToTarget,
 )
-from monsoonpier.agent.packets.holder import PacketHolder
+from monsoonpier.agent.packets.holder import PacketFlowOwner
 from monsoonpier.model.target import ABSENT_SECONDS, Condition
 from monsoonpier.wire.frames import Held, Holds, Load, NotHeld, PassOn, Turned, Whose
 from tests.packets.rig import (
@@ -31,7 +31,7 @@
     return kinds(actions).count(ToTarget)
 
 
-def restarted() -> PacketHolder:
+def restarted() -> PacketFlowOwner:
     """Return the packet logic of an agent started beside a running target."""
     return holder(is_first=False)
 
@@ -155,7 +155,7 @@
     def test_new_instance(self) -> None:
         """When a new instance starts, the callers of open flows are reset at once."""
         self.open()
-        actions = self.holder.started(b"i-2", is_first=True, now=2.0)
+        actions = self.holder.instance_started(b"i-2", is_first=True, now=2.0)
         self.assertEqual(kinds(actions), [ResetFlow])
         self.assertEqual(actions[0].acknowledged, TARGET_SEQUENCE + 1)
         denied = self.bring(packet(size=10))
@@ -229,13 +229,15 @@
     def test_query_before_first_heartbeat(self) -> None:
         """A query waits for the target's first heartbeat, but not for long."""
         question = Whose(question=8, service="maps", flows=(packet().flow,))
-        made = PacketHolder(name="m", service="maps", slots=2, connections=9, log=LOG)
+        made = PacketFlowOwner(
+            name="m", service="maps", slots=2, connections=9, log=LOG
+        )
         self.assertEqual(made.ask(question, sender=BALANCER, now=1.0), [])
         self.assertEqual(made.answer_pending(now=1.2), [])
         late = made.answer_pending(now=1.3)
         self.assertEqual(frames(late, Holds)[0].run_ms, None)
         self.assertEqual(made.ask(question, sender=BALANCER, now=1.4), [])
-        made.started(b"i-1", is_first=False, is_young=True, now=1.5)
+        made.instance_started(b"i-1", is_first=False, is_young=True, now=1.5)
         soon = made.answer_pending(now=1.5)
         self.assertEqual(frames(soon, Holds)[0].run_ms, 0)
         self.assertEqual(made.answer_pending(now=9.0), [])
@@ -245,10 +247,10 @@
         question = Whose(question=7, service="maps", flows=(packet().flow,))
         self.assertIsNone(self.holder.answer(question, now=3.0).run_ms)
         young = holder(is_first=False)
-        young.started(b"i-9", is_first=False, now=2.0)
+        young.instance_started(b"i-9", is_first=False, now=2.0)
         self.assertEqual(young.answer(question, now=3.0).run_ms, 1000)
-        met = PacketHolder(name="m", service="maps", slots=2, connections=9, log=LOG)
-        met.started(b"i-1", is_first=False, is_young=True, now=2.5)
+        met = PacketFlowOwner(name="m", service="maps", slots=2, connections=9, log=LOG)
+        met.instance_started(b"i-1", is_first=False, is_young=True, now=2.5)
         said = met.answer(question, now=3.0)
         self.assertEqual((said.run_ms, said.is_sure), (500, False))
 
@@ -271,7 +273,7 @@
     """An agent on a VM whose target had left before the VM started again."""
 
     def setUp(self) -> None:
-        self.holder = PacketHolder(
+        self.holder = PacketFlowOwner(
             name="m", service="maps", slots=2, connections=9, log=LOG
         )
         self.holder.note_no_listener(now=1.0)
@@ -296,7 +298,7 @@
 
     def test_target_that_appears(self) -> None:
         """A target that sends a heartbeat after all may be older than its agent."""
-        self.holder.started(b"i-1", is_first=False, now=1.5)
+        self.holder.instance_started(b"i-1", is_first=False, now=1.5)
         self.holder.condition = Condition.SERVING
         self.holder.note_no_listener(now=9.0)
         answered = self.answer(now=9.0)
--- a/tests/packets/test_reservations.py
+++ b/tests/packets/test_reservations.py
@@ -13,13 +13,18 @@
 )
 from monsoonpier.model.service import Configuration
 from monsoonpier.model.target import Condition
-from monsoonpier.model.waiting import LATE_TURN, RESERVED_AT, WaitingFlow, WaitingQueue
+from monsoonpier.model.waiting import (
+    LATE_TURN_INTERVAL,
+    RESERVATIONS_PER_FLOW,
+    WaitingFlow,
+    WaitingQueue,
+)
 from monsoonpier.wire.frames import Carry, Decline, Offer, Reserve, Turned
 from standins.packets.simulation import Simulation, World
 from tests.packets.rig import (
     BALANCER,
+    CONVERGED,
     OTHER_BALANCER,
-    SETTLED,
     SteeringRig,
     answer,
     frames,
@@ -149,17 +154,21 @@
 
     def test_few_wait_their_turn(self) -> None:
         """Late flows with time left get one slot in sixteen and don't starve."""
-        self.assertEqual(self.late_turns(late=4, wait_ms=2_900), 64 // LATE_TURN)
+        self.assertEqual(
+            self.late_turns(late=4, wait_ms=2_900), 64 // LATE_TURN_INTERVAL
+        )
 
     def test_what_can_be_served_is_served(self) -> None:
         """After a short burst all late flows are served."""
         turns = self.late_turns(late=16, wait_ms=1_200)
-        self.assertGreater(turns, 2 * 64 // LATE_TURN)
+        self.assertGreater(turns, 2 * 64 // LATE_TURN_INTERVAL)
         self.assertLessEqual(turns, 16)
 
     def test_more_than_can_be_served(self) -> None:
         """Late flows that would expire anyway don't displace those in time."""
-        self.assertEqual(self.late_turns(late=200, wait_ms=1_200), 64 // LATE_TURN)
+        self.assertEqual(
+            self.late_turns(late=200, wait_ms=1_200), 64 // LATE_TURN_INTERVAL
+        )
 
 
 class AgentTests(unittest.TestCase):
@@ -267,30 +276,30 @@
     def setUp(self) -> None:
         self.rig = SteeringRig(targets=3, reserves=True)
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
 
-    def offer(self, name: str = "maps-1", *, now: float = SETTLED, **fields) -> list:
+    def offer(self, name: str = "maps-1", *, now: float = CONVERGED, **fields) -> list:
         report = load(number=50, in_flight=3, **fields)
         return self.rig.agent(Offer(agent=name, load=report), now=now)
 
     def test_reserves_at_two_agents(self) -> None:
         """A queued flow reserves at two agents and stays at the balancer."""
         actions = self.rig.caller(packet(syn=True))
-        self.assertEqual(len(frames(actions, Reserve)), RESERVED_AT)
-        self.assertEqual(len(set(self.rig.names(actions))), RESERVED_AT)
+        self.assertEqual(len(frames(actions, Reserve)), RESERVATIONS_PER_FLOW)
+        self.assertEqual(len(set(self.rig.names(actions))), RESERVATIONS_PER_FLOW)
         self.assertEqual(frames(actions, Carry), [])
 
     def test_nothing_without_the_setting(self) -> None:
         """Without the setting no reservation is sent."""
         self.rig = SteeringRig(targets=1)
-        self.rig.report("maps-1", now=SETTLED, in_flight=3)
+        self.rig.report("maps-1", now=CONVERGED, in_flight=3)
         self.assertEqual(self.rig.caller(packet(syn=True)), [])
 
     def test_offer_takes_the_first_by_then(self) -> None:
         """The flow is chosen when a slot is offered, not when it was reserved."""
-        self.rig.caller(packet(1, syn=True), now=SETTLED)
-        self.rig.caller(packet(2, syn=True), now=SETTLED + 0.01)
-        actions = self.offer(now=SETTLED + 0.02)
+        self.rig.caller(packet(1, syn=True), now=CONVERGED)
+        self.rig.caller(packet(2, syn=True), now=CONVERGED + 0.01)
+        actions = self.offer(now=CONVERGED + 0.02)
         self.assertEqual([f.payload for f in frames(actions, Carry)], [packet(1).raw])
         self.assertTrue(frames(actions, Carry)[0].is_offered)
 
@@ -303,24 +312,24 @@
     def test_agent_that_ended(self) -> None:
         """A flow that gets no offer reserves at further agents, within bounds."""
         self.rig.caller(packet(1, syn=True))
-        now, reserved = SETTLED, []
-        while now < SETTLED + 1.25:
+        now, reserved = CONVERGED, []
+        while now < CONVERGED + 1.25:
             now += 0.1
             for number in (1, 2, 3):
                 self.rig.report(f"maps-{number}", now=now, in_flight=3)
-            waited = round(now - SETTLED, 1)
+            waited = round(now - CONVERGED, 1)
             if waited in (0.2, 0.6):
                 copy = replace(packet(1, syn=True), waited=waited)
                 self.rig.caller(copy, now=now)
             actions = self.rig.steering.retry(now=now, draw=self.rig.draw)
             reserved += self.rig.names(actions)
         self.assertEqual(len(reserved), 1)  # the only agent without a reservation
-        self.assertLessEqual(RESERVED_AT + len(reserved), MAX_AGENTS)
+        self.assertLessEqual(RESERVATIONS_PER_FLOW + len(reserved), MAX_AGENTS)
 
     def test_new_request_after_the_last_try(self) -> None:
         """A caller that has used up its attempts counts as new."""
         in_time_ms = []
-        now = SETTLED
+        now = CONVERGED
         for number in range(4):
             for name in ("maps-1", "maps-2", "maps-3"):
                 self.rig.report(name, now=now, in_flight=3)
@@ -348,15 +357,15 @@
         """Reservations of a flow that is presumed abandoned are cancelled."""
         begun = self.rig.caller(packet(1, syn=True))
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED + 0.3, in_flight=3)
-        left = self.rig.steering.retry(now=SETTLED + 0.31, draw=self.rig.draw)
+            self.rig.report(f"maps-{number}", now=CONVERGED + 0.3, in_flight=3)
+        left = self.rig.steering.retry(now=CONVERGED + 0.31, draw=self.rig.draw)
         self.assertEqual(self.rig.names(left), self.rig.names(begun))
         self.assertEqual({f.wait_ms for f in frames(left, Reserve)}, {0})
-        actions = self.offer(now=SETTLED + 0.32)
+        actions = self.offer(now=CONVERGED + 0.32)
         self.assertEqual(len(frames(actions, Decline)), 1)
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED + 0.6, in_flight=3)
-        later = self.rig.steering.retry(now=SETTLED + 0.61, draw=self.rig.draw)
+            self.rig.report(f"maps-{number}", now=CONVERGED + 0.6, in_flight=3)
+        later = self.rig.steering.retry(now=CONVERGED + 0.61, draw=self.rig.draw)
         self.assertEqual(later, [])
 
     def test_refused_while_reserved(self) -> None:
--- a/tests/packets/test_shares.py
+++ b/tests/packets/test_shares.py
@@ -13,8 +13,8 @@
 from monsoonpier.wire.frames import Carry, Held, Holds, NotHeld, PassOn, Whose
 from monsoonpier.wire.packet import Packet
 from tests.packets.rig import (
+    CONVERGED,
     SERVICE,
-    SETTLED,
     SteeringRig,
     load,
     packet,
@@ -97,7 +97,7 @@
         )
         rig.steering.configured()
 
-    def services(self, rig: SteeringRig, *, now: float = SETTLED) -> list[str]:
+    def services(self, rig: SteeringRig, *, now: float = CONVERGED) -> list[str]:
         """Return the services of 40 new flows, placed or queued."""
         for number in range(40):
             rig.caller(packet(number, syn=True), now=now)
@@ -115,7 +115,7 @@
         undisturbed, rig = self.rig(), self.rig()
         for number in (3, 4):
             full = load(number=9, in_flight=9, flows=2_000)
-            rig.membership.table.heard(f"logs-{number}", full, now=SETTLED)
+            rig.membership.table.heard(f"logs-{number}", full, now=CONVERGED)
         for each in (undisturbed, rig):
             for number in range(40):
                 each.caller(packet(number, syn=True))
@@ -125,7 +125,7 @@
     def test_service_whose_targets_leave(self) -> None:
         """Its share goes to the others, but only once all targets are known."""
         undisturbed = self.services(self.rig())
-        for now, expected in ((SETTLED, ["maps"] * 40), (0.5, undisturbed)):
+        for now, expected in ((CONVERGED, ["maps"] * 40), (0.5, undisturbed)):
             rig = self.rig()
             for number in (3, 4):
                 leaving = {"service": "logs", "condition": Condition.LEAVING}
@@ -146,7 +146,7 @@
         rig = self.rig()
         every = {(1, "maps"), (2, "maps"), (3, "logs"), (4, "logs")}
         for flow, holder in ((1, None), (2, "logs-3")):
-            now = SETTLED + flow
+            now = CONVERGED + flow
             self.assertEqual(self.asked(rig.caller(packet(flow), now=now)), every)
             actions: list = []
             for name in ("maps-1", "maps-2", "logs-3", "logs-4"):
@@ -171,7 +171,7 @@
         ):
             reply = Holds(question=number, agent=name, held=(), is_sure=False)
             actions += rig.agent(reply)
-        actions += rig.steering.retry(now=SETTLED + 0.02, draw=rig.draw)
+        actions += rig.steering.retry(now=CONVERGED + 0.02, draw=rig.draw)
         brought = {(a.endpoint[0], a.frame.service) for a in actions}
         self.assertEqual({type(a.frame) for a in actions}, {Carry, PassOn})
         expected = {("10.2.0.1", "maps"), ("10.2.0.2", "maps"), ("10.2.0.3", "logs")}
--- a/tests/packets/test_steering.py
+++ b/tests/packets/test_steering.py
@@ -22,8 +22,8 @@
     Whose,
 )
 from tests.packets.rig import (
+    CONVERGED,
     OWN,
-    SETTLED,
     SteeringRig,
     load,
     packet,
@@ -83,15 +83,15 @@
     def test_copy_of_a_waiting_syn(self) -> None:
         """A retransmission of a queued SYN changes nothing."""
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
         for seconds in (0.0, 0.2, 0.3):
-            now = SETTLED + seconds
+            now = CONVERGED + seconds
             self.assertEqual(self.rig.caller(packet(syn=True), now=now), [])
 
     def test_route_removed_while_it_waits(self) -> None:
         """A queued SYN whose route is removed is reset at once."""
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
         self.rig.caller(packet(syn=True))
         self.rig.membership.configure(Configuration(version=2))
         self.rig.steering.configured()
@@ -102,7 +102,7 @@
     def test_refused_before_the_caller_gives_up(self) -> None:
         """A queued SYN that gets no slot is reset before its caller gives up."""
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
         self.rig.caller(packet(syn=True))
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=101.0, in_flight=3)
@@ -113,7 +113,7 @@
     def test_refused_at_once_behind_a_long_queue(self) -> None:
         """A SYN that can't be served in time is reset at once."""
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
         reasons = [
             reason
             for number in range(500)
@@ -136,7 +136,7 @@
     def test_copy_has_waited_already(self) -> None:
         """The wait counts from the first SYN, even if another balancer got that."""
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
         self.rig.caller(replace(packet(syn=True), waited=0.6))
         self.assertTrue(self.rig.steering.is_waiting)
         self.rig.steering.retry(now=100.71, draw=self.rig.draw)
@@ -145,7 +145,7 @@
     def test_refused_copy_is_not_reset(self) -> None:
         """A rejected retransmission is not reset, as the first SYN may be queued."""
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
         copy = replace(packet(syn=True), waited=0.6)
         actions = self.rig.caller(copy)
         actions += self.rig.steering.retry(now=100.71, draw=self.rig.draw)
@@ -202,13 +202,13 @@
         self.rig.agent(held("maps-2", packet()))
         self.assertEqual(self.rig.names(self.rig.caller(packet())), ["maps-2"])
 
-    def _answers(self, *, held=(), sure: bool = True, name="maps-1", now=SETTLED):
+    def _answers(self, *, held=(), sure: bool = True, name="maps-1", now=CONVERGED):
         frame = Holds(question=1, agent=name, held=held, is_sure=sure)
         return self.rig.agent(frame, now=now)
 
     def test_question_is_answered_for_many_flows(self) -> None:
         """One reply confirms owned flows; the others need replies of all agents."""
-        self.rig.caller(packet(1), now=SETTLED)
+        self.rig.caller(packet(1), now=CONVERGED)
         for number in (2, 3):
             self.assertEqual(self.rig.caller(packet(number), now=100.001), [])
         actions = self.rig.steering.retry(now=100.03, draw=self.rig.draw)
@@ -300,7 +300,7 @@
     def test_no_reset_while_one_is_silent(self) -> None:
         """No flow is reset while one agent doesn't reply."""
         for n in range(50):
-            now = SETTLED + n / 10
+            now = CONVERGED + n / 10
             actions = self.rig.caller(packet(), now=now)
             for name in ("maps-1", "maps-3"):
                 actions += self.rig.agent(denied(name, packet()), packet(), now=now)
@@ -437,7 +437,7 @@
         self.rig.caller(packet())
         for name in ("maps-1", "maps-3"):
             self.rig.agent(denied(name, packet()), packet())
-        asked = self._queries_in(self.rig, since=SETTLED, until=SETTLED + 0.25)
+        asked = self._queries_in(self.rig, since=CONVERGED, until=CONVERGED + 0.25)
         self.assertEqual([name for _, name in asked], ["maps-2"])
         actions = self.rig.agent(denied("maps-2", packet()), packet(), now=100.51)
         self.assertEqual(resets(actions), ["nobody holds the flow"])
@@ -448,7 +448,7 @@
         for name in ("maps-1", "maps-3"):
             self.rig.agent(denied(name, packet()), packet())
         gone = record("maps-3", host=3, change=1, condition=Condition.GONE)
-        self.rig.membership.table.learn(gone, now=SETTLED)
+        self.rig.membership.table.learn(gone, now=CONVERGED)
         actions = self.rig.agent(denied("maps-1", packet()), packet(), now=100.1)
         actions += self.rig.caller(packet(), now=100.4)
         self.assertEqual(resets(actions), [])
@@ -461,7 +461,7 @@
                 self.rig.learn(record("maps-4", host=4))
             actions = self.rig.agent(denied(name, packet()), packet())
             self.assertEqual(resets(actions), [])
-        asked = self._queries_in(self.rig, since=SETTLED, until=SETTLED + 0.25)
+        asked = self._queries_in(self.rig, since=CONVERGED, until=CONVERGED + 0.25)
         self.assertEqual([name for _, name in asked], ["maps-4"])
 
     def test_silent_agent_is_asked_a_few_times(self) -> None:
@@ -470,7 +470,7 @@
         actions = []
         for name in ("maps-1", "maps-3"):
             actions += self.rig.agent(denied(name, packet()), packet())
-        asked = self._queries_in(self.rig, since=SETTLED, until=SETTLED + 30)
+        asked = self._queries_in(self.rig, since=CONVERGED, until=CONVERGED + 30)
         self.assertEqual({name for _, name in asked}, {"maps-2"})
         self.assertEqual(len(asked), 5)
         self.assertFalse(self.rig.steering.is_waiting)
@@ -489,18 +489,18 @@
 
     def test_power_was_lost_everywhere(self) -> None:
         """If all targets started with the balancer, dead flows are reset at once."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         answered = self._power_returned(rig, run_ms=300)
         self.assertEqual(answered, ["nobody holds the flow"])
 
     def test_targets_are_older_than_the_balancer(self) -> None:
         """If targets are older than the balancer, another one may be unknown."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         self.assertEqual(self._power_returned(rig, run_ms=30_000), [])
 
     def test_doubtful_agents_after_loss_of_power(self) -> None:
         """No probe is sent if all targets have just started."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         rig.membership.has_agreed = True
         rig.caller(packet(), now=100.4)
         actions: list = []
@@ -512,7 +512,7 @@
 
     def test_agent_without_a_target_after_loss_of_power(self) -> None:
         """An agent without a target doesn't delay resets after a power loss."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         rig.membership.has_agreed = True
         rig.caller(packet(), now=100.4)
         actions: list = []
@@ -550,7 +550,7 @@
 
     def test_only_agents_without_a_target(self) -> None:
         """Without a report of a target a power loss is not assumed."""
-        rig = SteeringRig(targets=2, started_at=SETTLED)
+        rig = SteeringRig(targets=2, started_at=CONVERGED)
         rig.membership.has_agreed = True
         rig.caller(packet(), now=100.4)
         actions: list = []
@@ -564,7 +564,7 @@
 
     def test_power_returns_before_peers_agree(self) -> None:
         """Without an agreeing peer, running agents get time to send a heartbeat."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         rig.caller(packet(), now=100.4)
         actions: list = []
         for name in ("maps-1", "maps-2", "maps-3"):
@@ -576,7 +576,7 @@
 
     def test_agent_that_starts_late(self) -> None:
         """While a reply is missing, targets that have just started are not probed."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         rig.caller(packet(), now=100.4)
         for name in ("maps-1", "maps-2"):
             rig.agent(self._inconclusive_reply(name, run_ms=300), now=100.41)
@@ -586,7 +586,7 @@
 
     def test_one_doubtful_agent(self) -> None:
         """A target that has just started is probed if all other agents deny."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         rig.caller(packet(), now=100.4)
         actions = rig.agent(self._inconclusive_reply("maps-2", run_ms=300), now=100.41)
         self.assertEqual(rig.names(actions), [])
@@ -607,7 +607,7 @@
 
         All targets may have been replaced since the balancer started.
         """
-        rig = SteeringRig(targets=2, started_at=SETTLED)
+        rig = SteeringRig(targets=2, started_at=CONVERGED)
         rig.membership.has_agreed = True
         rig.caller(packet(size=10), now=160.0)
         reply = Holds(
@@ -620,7 +620,7 @@
 
     def test_doubtful_while_another_is_silent(self) -> None:
         """A probe isn't held back for ever by an agent that doesn't reply."""
-        rig = SteeringRig(targets=2, started_at=SETTLED)
+        rig = SteeringRig(targets=2, started_at=CONVERGED)
         rig.caller(packet(size=10), now=160.0)
         rig.agent(self._inconclusive_reply("maps-2", run_ms=900), now=160.01)
         actions = rig.caller(packet(size=10), now=160.2)
@@ -629,7 +629,9 @@
 
     def test_power_was_lost_in_one_data_centre(self) -> None:
         """No flow is reset until targets of all data centres are known."""
-        rig = SteeringRig(targets=3, started_at=SETTLED, data_centres=("dc-1", "dc-2"))
+        rig = SteeringRig(
+            targets=3, started_at=CONVERGED, data_centres=("dc-1", "dc-2")
+        )
         self.assertEqual(self._power_returned(rig, run_ms=300), [])
 
     def test_few_met_targets_prove_nothing(self) -> None:
@@ -640,7 +642,7 @@
         """
         for places in (("dc-1",), ("dc-1", "dc-2")):
             with self.subTest(places=places):
-                rig = SteeringRig(targets=0, started_at=SETTLED, data_centres=places)
+                rig = SteeringRig(targets=0, started_at=CONVERGED, data_centres=places)
                 rig.membership.has_agreed = True
                 met = {"maps-1"} if len(places) == 1 else {"maps-1", "maps-2", "maps-3"}
                 for number in range(1, 5):
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -16,9 +16,9 @@
 from hypothesis import given, settings, strategies as st
 
 from monsoonpier.agent.packets.announcement import (
-    TargetAnnouncement,
-    TargetLeft,
-    TargetRun,
+    LeaveNotice,
+    TargetHeartbeat,
+    TargetInstance,
 )
 from monsoonpier.exits import Exit
 from monsoonpier.http import Request
@@ -252,17 +252,17 @@
         self.assertEqual(self._post("Instances.Heartbeat/i-1", body), 200)
         self.assertEqual(self._post("Instances.Leave/i-1"), 200)
         announced, left = self.messages
-        self.assertIsInstance(announced, TargetAnnouncement)
+        self.assertIsInstance(announced, TargetHeartbeat)
         self.assertTrue(announced.is_draining)
         self.assertEqual(announced.cold_seconds, 1.5)
-        self.assertEqual(left, TargetLeft(run=TargetRun(identity="i-1")))
+        self.assertEqual(left, LeaveNotice(run=TargetInstance(identity="i-1")))
 
     def test_start_time(self) -> None:
         """The start time identifies the target's run in heartbeats and leave calls."""
         body = HEARTBEAT | {"born": 1_780_000_000_123}
         self._post("Instances.Heartbeat/i-1", msgspec.json.encode(body))
         self._post("Instances.Leave/i-1", b'{"born": 1780000000123}')
-        run = TargetRun(identity="i-1", born_ms=1_780_000_000_123)
+        run = TargetInstance(identity="i-1", born_ms=1_780_000_000_123)
         self.assertEqual([message.run for message in self.messages], [run, run])
 
     def test_invalid_fields(self) -> None:
@@ -319,7 +319,7 @@
         rejected = sum(self.calls.refused_by_reason.values())
         self.assertEqual(len(self.messages) + rejected, 2)
         for message in self.messages:
-            self.assertIsInstance(message, TargetAnnouncement | TargetLeft)
+            self.assertIsInstance(message, TargetHeartbeat | LeaveNotice)
 
     def test_malformed_calls(self) -> None:
         """A malformed call gets status 4xx and is not handed on."""
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -20,7 +20,7 @@
 from monsoonpier.model.outcome import Outcome
 from monsoonpier.model.service import Configuration, Kind, Limits, Preference, Service
 from monsoonpier.model.target import TargetRecord
-from monsoonpier.model.token import HolderToken
+from monsoonpier.model.token import FlowToken
 from monsoonpier.wire.datagrams import reply_codec
 from monsoonpier.wire.frames import Announce, BalancerRecord, Bounce, Heartbeat, Return
 
@@ -66,7 +66,7 @@
 
 def holder(of: TargetRecord, **limits) -> Holder:
     """Return the decision logic of an agent whose target serves."""
-    token = HolderToken(service="maps", ip=of.ip, port=of.port, instance=of.instance)
+    token = FlowToken(service="maps", ip=of.ip, port=of.port, instance=of.instance)
     made = Holder(token=token, keys=KEYS, slots=of.slots, connections=of.connections)
     made.service = service(**limits)
     made.life = made.life.healthy(now=0.0)
--- a/tests/wire/test_decoders.py
+++ b/tests/wire/test_decoders.py
@@ -8,7 +8,7 @@
 
 from monsoonpier.model.keys import FRAME, Key, KeyRing
 from monsoonpier.model.target import LoadReport
-from monsoonpier.model.token import HolderToken, open_token, seal_token
+from monsoonpier.model.token import FlowToken, open_token, seal_token
 from monsoonpier.wire.codec import Dropped
 from monsoonpier.wire.control import AskStatus, ControlCodec
 from monsoonpier.wire.datagrams import (
@@ -136,7 +136,7 @@
         """During rotation both keys verify, and the first one signs."""
         old, new = Key(id=1, secret=b"k" * 32), Key(id=2, secret=b"n" * 32)
         both = KeyRing(keys=(new, old))
-        token = HolderToken(service="maps", ip="10.0.0.1", port=1, instance=b"i" * 8)
+        token = FlowToken(service="maps", ip="10.0.0.1", port=1, instance=b"i" * 8)
         before = seal_token(token, flow=FLOW, keys=KEYS)
         after = seal_token(token, flow=FLOW, keys=both)
         self.assertEqual(open_token(before, flow=FLOW, keys=both), token)
