--- a/monsoonpier/balancer/packets/openings.py
+++ b/monsoonpier/balancer/packets/openings.py
@@ -9,7 +9,7 @@
     has_room,
     median_service_seconds,
     place,
-    reliable,
+    without_failing,
 )
 from monsoonpier.balancer.packets.queueing import (
     FlowBacklog,
@@ -222,7 +222,7 @@
     ) -> list:
         """Send a SYN to the best target, or queue it if none has room."""
         table = self._context.membership.table
-        candidates = reliable(table.candidates_of(entry.service, now=now))
+        candidates = without_failing(table.candidates_of(entry.service, now=now))
         if len(entry.tried) >= MAX_PLACEMENTS:
             return self._enqueue(packet, entry, candidates, now=now, draw=draw)
         route = self._context.route(packet)
@@ -362,7 +362,7 @@
         actions: list = []
         for _ in range(self._backlog.waiting(service)):
             candidates = self._context.membership.table.candidates_of(service, now=now)
-            usable = [c for c in reliable(candidates) if not c.suspected]
+            usable = [c for c in without_failing(candidates) if not c.suspected]
             in_time = self._backlog.update_late(
                 service, now=now, run_seconds=median_service_seconds(usable)
             )
--- a/monsoonpier/balancer/packets/placement.py
+++ b/monsoonpier/balancer/packets/placement.py
@@ -16,7 +16,7 @@
     "fast_service_seconds",
     "has_room",
     "place",
-    "reliable",
+    "without_failing",
     "median_service_seconds",
     "requests_per_second",
     "wait_for_slot",
@@ -61,7 +61,7 @@
     in_time: bool = True
 
 
-def reliable(candidates: Sequence[Candidate]) -> list[Candidate]:
+def without_failing(candidates: Sequence[Candidate]) -> list[Candidate]:
     """Return the candidates without failing ones, omitting a quarter at the most."""
     max_failing = round(len(candidates) * MAX_EXCLUDED_SHARE)
     failing = [c for c in candidates if c.load.failed_percent >= FAILING_PERCENT]
--- a/monsoonpier/balancer/packets/queueing.py
+++ b/monsoonpier/balancer/packets/queueing.py
@@ -10,8 +10,8 @@
 from monsoonpier.balancer.packets.flows import FlowEntry
 from monsoonpier.balancer.packets.placement import (
     median_service_seconds,
-    reliable,
     wait_for_slot,
+    without_failing,
 )
 from monsoonpier.balancer.packets.presence import CallerPresence
 from monsoonpier.balancer.packets.reservations import SlotReservations
@@ -242,7 +242,7 @@
         if route is None:
             return []
         table = self._context.membership.table
-        candidates = reliable(table.candidates_of(entry.service, now=now))
+        candidates = without_failing(table.candidates_of(entry.service, now=now))
         waiting = _waiting_flow(
             flow,
             entry,
--- a/monsoonpier/balancer/packets/reservations.py
+++ b/monsoonpier/balancer/packets/reservations.py
@@ -14,8 +14,8 @@
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.packets.placement import (
     fast_service_seconds,
-    reliable,
     requests_per_second,
+    without_failing,
 )
 from monsoonpier.balancer.packets.scope import SteeringContext
 from monsoonpier.balancer.packets.waiting import ServiceQueues
@@ -191,7 +191,9 @@
 
     def _candidates(self, service: str, *, now: float) -> list[Candidate]:
         """Return the targets of a service, without failing ones."""
-        return reliable(self._context.membership.table.candidates_of(service, now=now))
+        return without_failing(
+            self._context.membership.table.candidates_of(service, now=now)
+        )
 
 
 def _sample(
--- a/monsoonpier/balancer/packets/returning.py
+++ b/monsoonpier/balancer/packets/returning.py
@@ -15,7 +15,7 @@
 
 # A flow that arrives later counts as a new request; callers that were rejected come
 # back sooner.
-RETURN_SECONDS = 0.2
+RETURN_WINDOW_SECONDS = 0.2
 MAX_ATTEMPTS = 3  # per request, in the callers' library
 MAX_CALLERS = 8_192
 MAX_REJECTIONS = 64  # per caller address, which several users may share
@@ -30,7 +30,7 @@
         attempts: How many attempts it has made.
     """
 
-    asked_at: float
+    first_attempt_at: float
     attempts: int = 1
 
     @property
@@ -49,7 +49,7 @@
         ]
         self._rejections_by_caller = OrderedDict()
 
-    def refused(self, packet: Packet, *, asked_at: float, now: float) -> None:
+    def record_reset(self, packet: Packet, *, asked_at: float, now: float) -> None:
         """Record a caller whose flow is reset now.
 
         Args:
@@ -60,7 +60,7 @@
         earlier = EarlierAttempt(asked_at=asked_at)
         self.record(packet.caller_ip, packet.service_address, earlier, back_at=now)
 
-    def earlier(self, packet: Packet, *, now: float) -> EarlierAttempt | None:
+    def find_earlier(self, packet: Packet, *, now: float) -> EarlierAttempt | None:
         """Return the earlier attempt of a new flow's caller, if it was rejected."""
         return self.claim(
             packet.caller_ip, packet.service_address, came_at=now, now=now
@@ -90,7 +90,7 @@
         # Rejections are not ordered by `back_at`: callers also give up on their own.
         for rejection in list(rejections):
             back_at, earlier = rejection
-            if now - back_at > RETURN_SECONDS:
+            if now - back_at > RETURN_WINDOW_SECONDS:
                 rejections.remove(rejection)
             elif back_at <= came_at:
                 rejections.remove(rejection)
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -7,7 +7,10 @@
     MIN_TIMEOUT_SECONDS,
     ExpectedPackets,
 )
-from monsoonpier.balancer.packets.returning import RETURN_SECONDS, ReturningCallers
+from monsoonpier.balancer.packets.returning import (
+    RETURN_WINDOW_SECONDS,
+    ReturningCallers,
+)
 from monsoonpier.model.target import Condition
 from monsoonpier.wire.frames import Carry, Queued, Turned
 from standins.packets.simulation import Simulation, World
@@ -199,25 +202,27 @@
     def test_first_attempt_counts(self) -> None:
         """A rejected caller's next flow counts from its first attempt, once."""
         callers = ReturningCallers()
-        callers.refused(packet(1), asked_at=1.0, now=2.0)
-        self.assertEqual(callers.earlier(packet(2, syn=True), now=2.1).asked_at, 1.0)
-        self.assertIsNone(callers.earlier(packet(3, syn=True), now=2.1))
+        callers.record_reset(packet(1), asked_at=1.0, now=2.0)
+        self.assertEqual(
+            callers.find_earlier(packet(2, syn=True), now=2.1).asked_at, 1.0
+        )
+        self.assertIsNone(callers.find_earlier(packet(3, syn=True), now=2.1))
 
     def test_long_ago(self) -> None:
         """A caller that returns much later has a new request."""
         callers = ReturningCallers()
-        callers.refused(packet(1), asked_at=1.0, now=2.0)
-        now = 2.0 + RETURN_SECONDS + 0.1
-        self.assertIsNone(callers.earlier(packet(2, syn=True), now=now))
+        callers.record_reset(packet(1), asked_at=1.0, now=2.0)
+        now = 2.0 + RETURN_WINDOW_SECONDS + 0.1
+        self.assertIsNone(callers.find_earlier(packet(2, syn=True), now=now))
 
     def test_bounded(self) -> None:
         """The callers rejected longest ago are forgotten first."""
         callers = ReturningCallers(most=2)
         for number in range(3):
             sent = replace(packet(number), caller_ip=f"100.64.0.{number}")
-            callers.refused(sent, asked_at=1.0, now=2.0)
+            callers.record_reset(sent, asked_at=1.0, now=2.0)
         first = replace(packet(9, syn=True), caller_ip="100.64.0.0")
-        self.assertIsNone(callers.earlier(first, now=2.0))
+        self.assertIsNone(callers.find_earlier(first, now=2.0))
 
     def test_goes_after_those_in_time(self) -> None:
         """Of two waiting flows, the one that was rejected before is placed last."""
--- a/tests/packets/test_evidence.py
+++ b/tests/packets/test_evidence.py
@@ -6,7 +6,7 @@
 
 from bench.packet_placement import WORLDS_BY_NAME, simulate
 from monsoonpier.agent.packets.evidence import FailureRate
-from monsoonpier.balancer.packets.placement import reliable
+from monsoonpier.balancer.packets.placement import without_failing
 from monsoonpier.model.target import Condition
 from monsoonpier.platform.packets import PlatformPackets
 from standins.packets.wire import ACK, Segment
@@ -159,7 +159,7 @@
         for number in range(1, 9):
             rig.report(f"maps-{number}", now=CONVERGED, failed_percent=40 + number)
         candidates = rig.membership.table.candidates_of("maps", now=CONVERGED)
-        names = {c.record.name for c in reliable(candidates)}
+        names = {c.record.name for c in without_failing(candidates)}
         self.assertEqual(names, {f"maps-{n}" for n in range(1, 7)})
 
     def test_retried(self) -> None:
