--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -21,7 +21,7 @@
 from monsoonpier.model.token import FlowToken, seal_token
 from monsoonpier.process.udp import open_udp
 from monsoonpier.wire.datagrams import MIN_OPEN_BYTES, Open, Ping, caller_codec
-from monsoonpier.wire.frames import Forward, FrameCodec, Return
+from monsoonpier.wire.frames import ForwardDatagram, FrameCodec, ReplyDatagram
 from standins.deployment import Deployment
 
 RESULTS_FILE = Path(__file__).parent.parent / "docs" / "figures" / "capacity.json"
@@ -62,7 +62,7 @@
     sealed = seal_token(token, flow=FLOW, keys=KEYRING)
     ping = caller_codec.encode(Ping(flow=FLOW, token=sealed, acked=1))
     reply = FrameCodec(keys=KEYRING).encode(
-        Return(
+        ReplyDatagram(
             service="maps",
             ip=sink.address.ip,
             port=sink.address.port,
@@ -223,7 +223,7 @@
 
 def _send_open(sender, codec: FrameCodec, number: int, to: tuple[str, int]) -> None:
     message = Open(flow=number.to_bytes(16, "big"), padding=bytes(MIN_OPEN_BYTES))
-    frame = Forward(
+    frame = ForwardDatagram(
         service="maps", ip="127.0.0.1", port=9, payload=caller_codec.encode(message)
     )
     sender.send(codec.encode(frame), to)
--- a/bench/packet_capacity.py
+++ b/bench/packet_capacity.py
@@ -22,7 +22,13 @@
 from monsoonpier.model.target import Condition, LoadReport, TargetRecord
 from monsoonpier.platform.packets import PlatformPackets
 from monsoonpier.process.logs import DecisionLog, configure_logs
-from monsoonpier.wire.frames import BalancerRecord, Carry, FrameCodec, Held, Load
+from monsoonpier.wire.frames import (
+    BalancerRecord,
+    FlowOwned,
+    ForwardPacket,
+    FrameCodec,
+    LoadUpdate,
+)
 from monsoonpier.wire.packet import Packet
 from standins.packets.wire import ACK, SYN, Segment
 
@@ -67,7 +73,7 @@
     for number in range(targets):
         membership.table.learn(_record(number), now=0.0)
         load = LoadReport(number=1, condition=Condition.SERVING, service_ms=50)
-        membership.table.heard(f"side-brum-a-{number}", load, now=100.0)
+        membership.table.record_load(f"side-brum-a-{number}", load, now=100.0)
     log = DecisionLog("bench")
     return PacketSteering(membership=membership, log=log), membership
 
@@ -104,7 +110,7 @@
     steering, _ = _steering(15)
     flow = _packet(_raw(1)).flow
     load = LoadReport(number=2, condition=Condition.SERVING)
-    owned = Held(flow=flow, agent="side-brum-a-3", load=load, is_open=True)
+    owned = FlowOwned(flow=flow, agent="side-brum-a-3", load=load, is_open=True)
     steering.from_process(owned, None, sender=("", 0), now=100.0, draw=DRAW)
     raw = _raw(1)
 
@@ -131,7 +137,9 @@
     steering, _ = _steering(targets)
     load = LoadReport(number=0, in_flight=1, condition=Condition.SERVING)
     data = [
-        FRAMES.encode(Load(load=LoadReport(number=n + 2, condition=load.condition)))
+        FRAMES.encode(
+            LoadUpdate(load=LoadReport(number=n + 2, condition=load.condition))
+        )
         for n in range(REPEATS)
     ]
     record = _record(3)
@@ -154,7 +162,7 @@
         for number in range(flows):
             flow = number.to_bytes(12, "big")
             load = LoadReport(number=number + 2, condition=Condition.SERVING)
-            owned = Held(flow=flow, agent="side-brum-a-3", load=load, is_open=True)
+            owned = FlowOwned(flow=flow, agent="side-brum-a-3", load=load, is_open=True)
             steering.from_process(owned, None, sender=("", 0), now=100.0, draw=DRAW)
         found[flows] = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
@@ -186,7 +194,7 @@
     decoded = CODEC.decode(response, from_target=True)
     assert isinstance(decoded, Packet)
     owner.from_target(decoded, now=1.0)
-    data = FRAMES.encode(Carry(service="maps", payload=raw))
+    data = FRAMES.encode(ForwardPacket(service="maps", payload=raw))
 
     def run(_: int) -> None:
         frame = FRAMES.decode(data)
--- a/monsoonpier/agent/balancer_link.py
+++ b/monsoonpier/agent/balancer_link.py
@@ -19,7 +19,7 @@
 from monsoonpier.store.backoff import Backoff
 from monsoonpier.store.interface import Store, StoreError
 from monsoonpier.store.keys import BALANCERS
-from monsoonpier.wire.control import AskConfiguration, ConfigurationReply
+from monsoonpier.wire.control import ConfigurationReply, ConfigurationRequest
 from monsoonpier.wire.frames import (
     Announce,
     BalancerRecord,
@@ -262,7 +262,7 @@
             self._fetch_task = asyncio.create_task(self._fetch(balancer))
 
     async def _fetch(self, balancer: BalancerRecord) -> None:
-        request = AskConfiguration(
+        request = ConfigurationRequest(
             newer_than=self.configuration.version, service=self.record.service
         )
         try:
--- a/monsoonpier/agent/packets/admission.py
+++ b/monsoonpier/agent/packets/admission.py
@@ -22,7 +22,14 @@
 from monsoonpier.agent.packets.reservations import Reservations
 from monsoonpier.model.target import QUEUE_AHEAD, Condition, LoadReport
 from monsoonpier.process.logs import DecisionLog
-from monsoonpier.wire.frames import MAX_TRIED, Carry, Offer, Queued, Reserve, Turned
+from monsoonpier.wire.frames import (
+    MAX_TRIED,
+    ForwardPacket,
+    OfferSlot,
+    ReserveSlot,
+    SynQueued,
+    SynRejected,
+)
 from monsoonpier.wire.packet import Packet
 
 __all__ = ["FlowAdmission"]
@@ -103,7 +110,12 @@
         return self._load.queue
 
     def decide(
-        self, frame: Carry, packet: Packet, *, sender: tuple[str, int], now: float
+        self,
+        frame: ForwardPacket,
+        packet: Packet,
+        *,
+        sender: tuple[str, int],
+        now: float,
     ) -> list:
         """Deliver, queue or reject a SYN of a flow the target doesn't own."""
         if packet.flow in self._queue:
@@ -142,14 +154,16 @@
 
     # Slots for flows that wait at balancers
 
-    def reserve(self, frame: Reserve, *, balancer: tuple[str, int], now: float) -> None:
+    def reserve(
+        self, frame: ReserveSlot, *, balancer: tuple[str, int], now: float
+    ) -> None:
         """Record a balancer's reservation, unless no new flow is accepted."""
         if frame.service != self._service or self._closed_reason is not None:
             return
         if not self._reservations.reserve(frame, balancer=balancer, now=now):
             self._counts_by_result["not_reserved"] += 1
 
-    def offer_answered(self, frame: Carry, *, sender: tuple[str, int]) -> None:
+    def offer_answered(self, frame: ForwardPacket, *, sender: tuple[str, int]) -> None:
         """Record that a SYN answers an offer, whether or not it is accepted."""
         if frame.is_offered:
             self._reservations.taken(sender)
@@ -174,7 +188,7 @@
             if offer is None:
                 break
             self._counts_by_result["offered"] += 1
-            frame = Offer(
+            frame = OfferSlot(
                 agent=self._name,
                 load=self.report(now=now),
                 is_late_turn=offer.is_late_turn,
@@ -234,7 +248,7 @@
             slots=self._load.slots,
             tried=syn.tried,
         )
-        frame = Turned(
+        frame = SynRejected(
             agent=self._name,
             payload=syn.packet.raw,
             tried=syn.tried[-MAX_TRIED:],
@@ -243,7 +257,7 @@
         )
         return ToProcess(endpoint=syn.balancer, frame=frame)
 
-    def _rejection_reason(self, frame: Carry, *, now: float) -> str | None:
+    def _rejection_reason(self, frame: ForwardPacket, *, now: float) -> str | None:
         """Return why a SYN can't be delivered now; ``None`` if it can."""
         if frame.service != self._service:
             return "another service's"
@@ -287,7 +301,12 @@
         return ToTarget(raw=packet.raw)
 
     def _enqueue(
-        self, frame: Carry, packet: Packet, *, sender: tuple[str, int], now: float
+        self,
+        frame: ForwardPacket,
+        packet: Packet,
+        *,
+        sender: tuple[str, int],
+        now: float,
     ) -> list:
         """Queue a SYN and reject the one that there is no room left for."""
         displaced = self._queue.add(
@@ -318,5 +337,5 @@
             queued=len(self._queue),
         )
         load = self.report(now=now)
-        frame = Queued(flow=packet.flow, agent=self._name, load=load)
+        frame = SynQueued(flow=packet.flow, agent=self._name, load=load)
         return ToProcess(endpoint=sender, frame=frame)
--- a/monsoonpier/agent/packets/holder.py
+++ b/monsoonpier/agent/packets/holder.py
@@ -27,16 +27,16 @@
 from monsoonpier.model.target import Condition, LoadReport
 from monsoonpier.process.logs import DecisionLog
 from monsoonpier.wire.frames import (
-    Carry,
-    Held,
-    Holds,
-    NotHeld,
-    Offer,
-    PassOn,
-    Queued,
-    Reserve,
-    Turned,
-    Whose,
+    FlowNotOwned,
+    FlowOwned,
+    ForwardPacket,
+    OfferSlot,
+    OwnershipQuery,
+    OwnershipReply,
+    RelayPacket,
+    ReserveSlot,
+    SynQueued,
+    SynRejected,
 )
 from monsoonpier.wire.packet import Packet, sequence_distance
 
@@ -81,7 +81,7 @@
         self._service = service
         self._flows_by_address: dict[bytes, PacketFlow] = {}
         self._target_state = InstanceState()
-        self._pending_queries: deque[tuple[tuple[str, int], Whose]] = deque(
+        self._pending_queries: deque[tuple[tuple[str, int], OwnershipQuery]] = deque(
             maxlen=MAX_PENDING_QUERIES
         )
         self._first_query_at = 0.0
@@ -208,7 +208,7 @@
     # Packets of callers
 
     def ask(
-        self, query: Whose, *, sender: tuple[str, int], now: float
+        self, query: OwnershipQuery, *, sender: tuple[str, int], now: float
     ) -> list[ToProcess]:
         """Answer a balancer's query for owners now, or once the target is known."""
         if self._target_state.instance or self._target_state.knows_all_flows:
@@ -232,7 +232,7 @@
         self._pending_queries.clear()
         return replies
 
-    def answer(self, query: Whose, *, now: float) -> Holds:
+    def answer(self, query: OwnershipQuery, *, now: float) -> OwnershipReply:
         """Return which of the queried flows the target owns."""
         owned = tuple(flow for flow in query.flows if self._owns(flow))
         # The target never owns flows of another service.
@@ -241,7 +241,7 @@
             or self.condition is Condition.GONE
             or query.service != self._service
         )
-        return Holds(
+        return OwnershipReply(
             question=query.question,
             agent=self._name,
             held=owned,
@@ -266,7 +266,12 @@
         return flow.is_open or flow.target_sequence is not None
 
     def from_balancer(
-        self, frame: Carry, packet: Packet, *, sender: tuple[str, int], now: float
+        self,
+        frame: ForwardPacket,
+        packet: Packet,
+        *,
+        sender: tuple[str, int],
+        now: float,
     ) -> list:
         """Decide on a caller's packet that a balancer has forwarded."""
         actions = self._handle_from_balancer(frame, packet, sender=sender, now=now)
@@ -274,7 +279,9 @@
             actions + self._admission.admit_queued(now=now), now=now
         )
 
-    def reserve(self, frame: Reserve, *, balancer: tuple[str, int], now: float) -> list:
+    def reserve(
+        self, frame: ReserveSlot, *, balancer: tuple[str, int], now: float
+    ) -> list:
         """Record that a balancer wants a slot for a flow that waits there."""
         self._admission.reserve(frame, balancer=balancer, now=now)
         return self._update_accounting(self._admission.admit_queued(now=now), now=now)
@@ -289,7 +296,8 @@
         for action in actions:
             match action:
                 case ToProcess(
-                    endpoint=balancer, frame=Held() | Offer() | Queued() | Turned()
+                    endpoint=balancer,
+                    frame=FlowOwned() | OfferSlot() | SynQueued() | SynRejected(),
                 ):
                     condition = self._admission.announced_condition
                     self._reports.mark_reported(balancer, condition=condition, now=now)
@@ -298,7 +306,12 @@
         return actions
 
     def _handle_from_balancer(
-        self, frame: Carry, packet: Packet, *, sender: tuple[str, int], now: float
+        self,
+        frame: ForwardPacket,
+        packet: Packet,
+        *,
+        sender: tuple[str, int],
+        now: float,
     ) -> list:
         """Return the actions for a caller's packet."""
         flow = self._flows_by_address.get(packet.flow)
@@ -321,20 +334,22 @@
             return [ToTarget(raw=packet.raw)]
         return self._handle_first_packet(frame, packet, flow, sender=sender, now=now)
 
-    def relay(self, frame: PassOn, *, balancer: tuple[str, int]) -> list[ToProcess]:
+    def relay(
+        self, frame: RelayPacket, *, balancer: tuple[str, int]
+    ) -> list[ToProcess]:
         """Return frames that relay a packet to other agents.
 
         Those agents reply to the balancer that sent it.
         """
         self.counts_by_result["passed_on"] += len(frame.endpoints)
-        carry = Carry(
+        carry = ForwardPacket(
             service=frame.service, payload=frame.payload, asks=True, reply_to=balancer
         )
         return [ToProcess(endpoint=place, frame=carry) for place in frame.endpoints]
 
     def _handle_syn(
         self,
-        frame: Carry,
+        frame: ForwardPacket,
         packet: Packet,
         flow: PacketFlow | None,
         *,
@@ -349,7 +364,7 @@
 
     def _handle_first_packet(
         self,
-        frame: Carry,
+        frame: ForwardPacket,
         packet: Packet,
         flow: PacketFlow,
         *,
@@ -399,7 +414,12 @@
         return [ToTarget(raw=packet.raw)]
 
     def _handle_unknown_flow(
-        self, frame: Carry, packet: Packet, *, sender: tuple[str, int], now: float
+        self,
+        frame: ForwardPacket,
+        packet: Packet,
+        *,
+        sender: tuple[str, int],
+        now: float,
     ) -> list:
         """Probe an unknown flow at the target, if it may own the flow."""
         may_be_owned = frame.service == self._service or (
@@ -582,7 +602,7 @@
     ) -> ToProcess:
         """Return the frame that reports to a balancer that the flow is owned."""
         load = self.load(now=now)
-        frame = Held(flow=flow, agent=self._name, load=load, is_open=is_open)
+        frame = FlowOwned(flow=flow, agent=self._name, load=load, is_open=is_open)
         return ToProcess(endpoint=sender, frame=frame)
 
     def _not_owned_reply(
@@ -604,7 +624,7 @@
         if not sender[1]:
             return []  # No balancer sent it: the flow was learned from the target.
         payload = b"" if omit_payload else packet.raw
-        frame = NotHeld(agent=self._name, flow=packet.flow, payload=payload)
+        frame = FlowNotOwned(agent=self._name, flow=packet.flow, payload=payload)
         return [ToProcess(endpoint=sender, frame=frame)]
 
 
--- a/monsoonpier/agent/packets/load_reports.py
+++ b/monsoonpier/agent/packets/load_reports.py
@@ -13,7 +13,7 @@
 from monsoonpier.agent.packets.load import LoadLevel, TargetLoad
 from monsoonpier.model.target import Condition
 from monsoonpier.process.logs import DecisionLog
-from monsoonpier.wire.frames import Load
+from monsoonpier.wire.frames import LoadUpdate
 
 __all__ = ["LoadReports"]
 
@@ -92,7 +92,7 @@
         due = self._within_budget(due, present, now=now)
         if not due:
             return []
-        frame = Load(load=self._load.report(condition=condition, now=now))
+        frame = LoadUpdate(load=self._load.report(condition=condition, now=now))
         return [ToProcess(endpoint=endpoint, frame=frame) for endpoint in due]
 
     def forget_idle(self, *, now: float) -> None:
--- a/monsoonpier/agent/packets/process.py
+++ b/monsoonpier/agent/packets/process.py
@@ -35,15 +35,15 @@
 from monsoonpier.process.web import WebServer
 from monsoonpier.store.interface import Store
 from monsoonpier.wire.codec import Dropped
-from monsoonpier.wire.control import AskDrain, AskStatus, StatusReply
+from monsoonpier.wire.control import DrainRequest, StatusReply, StatusRequest
 from monsoonpier.wire.frames import (
-    Carry,
-    Decline,
+    DeclineSlot,
+    ForwardPacket,
     FrameCodec,
     HeartbeatAck,
-    PassOn,
-    Reserve,
-    Whose,
+    OwnershipQuery,
+    RelayPacket,
+    ReserveSlot,
 )
 from monsoonpier.wire.packet import PacketCodec
 
@@ -365,17 +365,17 @@
             return  # The sockets are still being opened.
         frame = self._frame_codec.decode(data)
         match frame:
-            case Carry():
+            case ForwardPacket():
                 self._receive_carried(frame, sender=frame.reply_to or sender)
-            case PassOn(service=service, payload=payload):
+            case RelayPacket(service=service, payload=payload):
                 self._perform(self._holder.relay(frame, balancer=sender))
-                own = Carry(service=service, payload=payload, asks=True)
+                own = ForwardPacket(service=service, payload=payload, asks=True)
                 self._receive_carried(own, sender=sender)
-            case Whose():
+            case OwnershipQuery():
                 self._perform(self._holder.ask(frame, sender=sender, now=_now()))
-            case Reserve():
+            case ReserveSlot():
                 self._perform(self._holder.reserve(frame, balancer=sender, now=_now()))
-            case Decline():
+            case DeclineSlot():
                 self._perform(self._holder.declined(balancer=sender, now=_now()))
             case HeartbeatAck():
                 self._link.handle_ack(frame)
@@ -385,7 +385,9 @@
             case _:
                 self._drop("unexpected")
 
-    def _receive_carried(self, frame: Carry, *, sender: tuple[str, int]) -> None:
+    def _receive_carried(
+        self, frame: ForwardPacket, *, sender: tuple[str, int]
+    ) -> None:
         packet = self._packet_codec.decode(frame.payload, from_target=False)
         if isinstance(packet, Dropped):
             self._drop(packet.reason)
@@ -467,7 +469,7 @@
 
     async def _answer_control(self, message):
         match message:
-            case AskStatus():
+            case StatusRequest():
                 return StatusReply(
                     name=self._settings.name,
                     role="agent",
@@ -477,7 +479,7 @@
                     uptime=_now() - self._started,
                     slot_use=self._holder.target_load.use_fields,
                 )
-            case AskDrain():
+            case DrainRequest():
                 name = self._settings.name
                 return answer_drain(message, name=name, life=self._life)
         return None
--- a/monsoonpier/agent/packets/queue.py
+++ b/monsoonpier/agent/packets/queue.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from monsoonpier.model.waiting import WaitingFlow, WaitingQueue
-from monsoonpier.wire.frames import Carry
+from monsoonpier.wire.frames import ForwardPacket
 from monsoonpier.wire.packet import Packet
 
 __all__ = ["AdmissionQueue", "QueuedSyn"]
@@ -54,7 +54,7 @@
 
     def add(
         self,
-        frame: Carry,
+        frame: ForwardPacket,
         packet: Packet,
         *,
         balancer: tuple[str, int],
--- a/monsoonpier/agent/packets/reservations.py
+++ b/monsoonpier/agent/packets/reservations.py
@@ -22,7 +22,7 @@
     WaitingFlow,
     WaitingQueue,
 )
-from monsoonpier.wire.frames import Reserve
+from monsoonpier.wire.frames import ReserveSlot
 
 __all__ = ["Reservations", "SlotOffer"]
 
@@ -74,7 +74,7 @@
         """Whether nothing is reserved or offered."""
         return not self._balancers_by_flow and not self._offers
 
-    def reserve(self, frame: Reserve, *, balancer: Endpoint, now: float) -> bool:
+    def reserve(self, frame: ReserveSlot, *, balancer: Endpoint, now: float) -> bool:
         """Add, update or cancel a reservation; return whether it is kept.
 
         A frame whose ``wait_ms`` is 0 cancels the flow's reservation, and
--- a/monsoonpier/agent/tokens/flows.py
+++ b/monsoonpier/agent/tokens/flows.py
@@ -8,7 +8,7 @@
 from monsoonpier.wire.datagrams import (
     PART_BYTES,
     AnswerPart,
-    Verdict,
+    FinalStatus,
 )
 
 __all__ = ["Answer", "Flow", "Request", "Stage", "Stream"]
@@ -69,7 +69,7 @@
     have_below: int = 0
     highest: int = -1
     received_datagrams: int = 0
-    outcome: Verdict | Answer | None = None
+    outcome: FinalStatus | Answer | None = None
 
     @property
     def is_complete(self) -> bool:
--- a/monsoonpier/agent/tokens/holder.py
+++ b/monsoonpier/agent/tokens/holder.py
@@ -25,8 +25,8 @@
     Cancel,
     Close,
     Fetch,
-    FlowGone,
-    Move,
+    FlowUnknown,
+    GoAway,
     Open,
     Opened,
     Ping,
@@ -36,7 +36,7 @@
     StreamOpen,
     caller_codec,
 )
-from monsoonpier.wire.frames import Forward
+from monsoonpier.wire.frames import ForwardDatagram
 
 __all__ = ["Holder"]
 
@@ -120,7 +120,12 @@
     # Packets from callers
 
     def forwarded(
-        self, frame: Forward, *, via: tuple[str, int], now: float, draw: random.Random
+        self,
+        frame: ForwardDatagram,
+        *,
+        via: tuple[str, int],
+        now: float,
+        draw: random.Random,
     ) -> list[Action]:
         """Handle a caller's packet that the balancer at ``via`` forwarded."""
         if frame.service != self._token.service:
@@ -137,7 +142,7 @@
         if flow is None or token != self._token.with_opening(flow.opening):
             if isinstance(message, Close):
                 return []
-            reply = FlowGone(flow=message.flow)
+            reply = FlowUnknown(flow=message.flow)
             return [Reply(via=via, ip=frame.ip, port=frame.port, message=reply)]
         flow.update_path(via, ip=frame.ip, port=frame.port)
         flow.expires = now + self._idle_seconds
@@ -149,7 +154,7 @@
         return IDLE_FLOW_SECONDS if self._drain_deadline is None else LINGER_SECONDS
 
     def _handle_open(
-        self, frame: Forward, message: Open, *, via: tuple[str, int], now: float
+        self, frame: ForwardDatagram, message: Open, *, via: tuple[str, int], now: float
     ) -> list[Action]:
         """Open a flow, or reject it; repeat the reply to a duplicate."""
         flow = self._flows_by_id.get(message.flow)
@@ -235,7 +240,7 @@
                 actions = self._requests.advance_watermark(flow, message.acked)
                 replies = [Pong(flow=flow.id)]
                 if self.life.is_leaving:
-                    replies.append(Move(flow=flow.id))
+                    replies.append(GoAway(flow=flow.id))
                 return actions + self._replies(flow, replies)
             case Close():
                 return self._end_flow(flow)
@@ -246,7 +251,7 @@
     ) -> list[Action]:
         """Start a stream, or end it at once if there is none of its kind."""
         if self.life.is_leaving:
-            return self._replies(flow, [Move(flow=flow.id)])
+            return self._replies(flow, [GoAway(flow=flow.id)])
         kind = self.service and self.service.kinds_by_name.get(message.kind)
         if not kind or not kind.stream:
             actions = self._streams.open(flow, message, now=now)
@@ -367,7 +372,7 @@
         for flow in self._flows_by_id.values():
             # The balancer used last may be gone and drop each message.
             flow.rotate_via()
-            actions += self._replies(flow, [Move(flow=flow.id)])
+            actions += self._replies(flow, [GoAway(flow=flow.id)])
         return actions
 
     def _end_flow(self, flow: Flow) -> list[Action]:
--- a/monsoonpier/agent/tokens/process.py
+++ b/monsoonpier/agent/tokens/process.py
@@ -42,16 +42,16 @@
 from monsoonpier.wire import frames
 from monsoonpier.wire.codec import Dropped
 from monsoonpier.wire.control import (
-    AskDrain,
-    AskStatus,
+    DrainRequest,
     StatusReply,
+    StatusRequest,
 )
 from monsoonpier.wire.datagrams import Opened, reply_codec
 from monsoonpier.wire.frames import (
-    Bounce,
-    Forward,
+    ForwardDatagram,
     FrameCodec,
     HeartbeatAck,
+    OpenReturned,
 )
 
 __all__ = ["AgentProcess"]
@@ -163,7 +163,7 @@
     def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
         frame = self._codec.decode(data)
         match frame:
-            case Forward():
+            case ForwardDatagram():
                 actions = self._owner.forwarded(
                     frame, via=sender, now=_now(), draw=self._draw
                 )
@@ -198,7 +198,7 @@
                     self._return_open(action)
 
     def _send_reply(self, reply: Reply) -> None:
-        frame = frames.Return(
+        frame = frames.ReplyDatagram(
             service=self._settings.target.service,
             ip=reply.ip,
             port=reply.port,
@@ -211,7 +211,7 @@
 
     def _return_open(self, action: Return) -> None:
         """Return an OPEN to its balancer, which can attempt another target."""
-        frame = Bounce(
+        frame = OpenReturned(
             service=self._settings.target.service,
             ip=action.ip,
             port=action.port,
@@ -313,7 +313,7 @@
 
     async def _answer(self, message):
         match message:
-            case AskStatus():
+            case StatusRequest():
                 return StatusReply(
                     name=self._settings.name,
                     role="agent",
@@ -322,7 +322,7 @@
                     version=self._link.configuration.version,
                     uptime=_now() - self._started,
                 )
-            case AskDrain():
+            case DrainRequest():
                 name = self._settings.name
                 return answer_drain(message, name=name, life=self._life)
         return None
--- a/monsoonpier/agent/tokens/replies.py
+++ b/monsoonpier/agent/tokens/replies.py
@@ -5,9 +5,9 @@
 from monsoonpier.wire.datagrams import (
     MAX_MILLIS,
     MAX_MISSING,
+    FinalStatus,
+    FinalStatusKind,
     Progress,
-    Verdict,
-    VerdictKind,
 )
 
 __all__ = ["already_done", "progress", "final_status"]
@@ -27,12 +27,12 @@
     )
 
 
-def already_done(flow: Flow, request_id: int) -> Verdict:
+def already_done(flow: Flow, request_id: int) -> FinalStatus:
     """Return the final status of a request id below the flow's watermark."""
-    return Verdict(
+    return FinalStatus(
         flow=flow.id,
         request=request_id,
-        kind=VerdictKind.ALREADY_DONE,
+        kind=FinalStatusKind.ALREADY_DONE,
         reason="already done",
     )
 
@@ -40,14 +40,14 @@
 def final_status(
     flow: Flow,
     request: Request,
-    kind: VerdictKind,
+    kind: FinalStatusKind,
     reason: str,
     *,
     retry_after_ms: int = 0,
     reopen: bool = False,
-) -> Verdict:
+) -> FinalStatus:
     """Return a final status; cuts values that exceed the limits of the wire format."""
-    return Verdict(
+    return FinalStatus(
         flow=flow.id,
         request=request.id,
         kind=kind,
--- a/monsoonpier/agent/tokens/requests.py
+++ b/monsoonpier/agent/tokens/requests.py
@@ -37,10 +37,10 @@
 from monsoonpier.wire.datagrams import (
     DIGEST_BYTES,
     PART_BYTES,
+    FinalStatus,
+    FinalStatusKind,
     Progress,
     RequestPart,
-    Verdict,
-    VerdictKind,
 )
 
 __all__ = ["RequestManager"]
@@ -175,7 +175,7 @@
                 self._finish(
                     flow,
                     request,
-                    final_status(flow, request, VerdictKind.CANCELLED, "cancelled"),
+                    final_status(flow, request, FinalStatusKind.CANCELLED, "cancelled"),
                 )
                 key = RequestKey(flow.id, request_id)
                 return [Abort(key=key)], self.outcome(flow, request)
@@ -258,7 +258,9 @@
                 self._finish(
                     flow,
                     request,
-                    final_status(flow, request, VerdictKind.LATE, "deadline passed"),
+                    final_status(
+                        flow, request, FinalStatusKind.LATE, "deadline passed"
+                    ),
                 )
         return flow, self.outcome(flow, request)
 
@@ -290,7 +292,7 @@
         if request is None or request.stage is Stage.FINISHED or now < request.deadline:
             return [], []
         if request.stage is Stage.RUNNING:
-            late = final_status(flow, request, VerdictKind.LATE, "deadline passed")
+            late = final_status(flow, request, FinalStatusKind.LATE, "deadline passed")
             self._finish(flow, request, late)
             abort = Abort(key=RequestKey(flow.id, request_id), late=True)
             return [abort], self.outcome(flow, request)
@@ -309,7 +311,7 @@
                     for number in wanted
                     if number < answer.parts
                 ]
-            case Verdict() as final:
+            case FinalStatus() as final:
                 return [final]
         return []
 
@@ -428,7 +430,9 @@
         self._running_by_key[key] = (flow, request, time_left)
         return Run(key=key, kind=request.kind, body=body, time_left=time_left)
 
-    def _finish(self, flow: Flow, request: Request, outcome: Verdict | Answer) -> None:
+    def _finish(
+        self, flow: Flow, request: Request, outcome: FinalStatus | Answer
+    ) -> None:
         """Store a request's outcome and release its parts."""
         self._kept_bytes -= sum(map(len, request.body_by_part.values()))
         request.body_by_part = {}
@@ -454,7 +458,7 @@
         rejection = final_status(
             flow,
             request,
-            VerdictKind.NOT_RUN,
+            FinalStatusKind.NOT_RUN,
             reason,
             retry_after_ms=int(retry_after * 1000),
             reopen=reopen,
@@ -467,7 +471,7 @@
 
     def _finish_unknown(self, flow: Flow, request: Request, reason: str) -> None:
         self._finish(
-            flow, request, final_status(flow, request, VerdictKind.UNKNOWN, reason)
+            flow, request, final_status(flow, request, FinalStatusKind.UNKNOWN, reason)
         )
 
     def _count_rejection(self, *, now: float) -> None:
--- a/monsoonpier/balancer/member.py
+++ b/monsoonpier/balancer/member.py
@@ -30,18 +30,18 @@
 from monsoonpier.store.interface import Store
 from monsoonpier.wire.codec import Dropped
 from monsoonpier.wire.control import (
-    AskConfiguration,
-    AskDrain,
-    AskStatus,
-    AskTable,
     ConfigurationReply,
+    ConfigurationRequest,
+    DrainRequest,
     StatusReply,
+    StatusRequest,
     TableReply,
+    TableRequest,
     TargetStatus,
 )
 from monsoonpier.wire.frames import BalancerRecord, FrameCodec
 
-__all__ = ["Member", "balancer_record"]
+__all__ = ["BalancerNode", "balancer_record"]
 
 GOSSIP_SECONDS = 1.0
 UPDATE_CHECK_SECONDS = 0.1
@@ -71,7 +71,7 @@
     )
 
 
-class Member:
+class BalancerNode:
     """Runs a balancer's internal socket, control server, gossip and store link.
 
     Args:
@@ -376,9 +376,9 @@
         membership = self._membership
         match action:
             case FetchConfiguration():
-                request = AskConfiguration(newer_than=self._configuration.version)
+                request = ConfigurationRequest(newer_than=self._configuration.version)
             case FetchTable():
-                request = AskTable(digests=membership.table.bucket_digests)
+                request = TableRequest(digests=membership.table.bucket_digests)
         try:
             reply = await ask(action.control, request, keys=self._settings.keys)
         except NoAnswer as error:
@@ -398,18 +398,18 @@
     async def _answer(self, message):
         membership = self._membership
         match message:
-            case AskConfiguration(newer_than=version, service=service):
+            case ConfigurationRequest(newer_than=version, service=service):
                 current = self._configuration.version
                 is_newer = current > version
                 packed = self._configuration.packed(service) if is_newer else b""
                 return ConfigurationReply(version=current, packed=packed)
-            case AskTable(digests=digests):
+            case TableRequest(digests=digests):
                 records = membership.table.records_in_differing_buckets(digests)
                 balancers = tuple(membership.peers.records_by_name.values())
                 return TableReply(records=records, balancers=balancers)
-            case AskStatus():
+            case StatusRequest():
                 return self._status()
-            case AskDrain():
+            case DrainRequest():
                 name = self._settings.name
                 return answer_drain(message, name=name, life=self._life)
         return None
--- a/monsoonpier/balancer/membership.py
+++ b/monsoonpier/balancer/membership.py
@@ -237,7 +237,7 @@
         )
         return ToAgent(endpoint=sender, frame=answer)
 
-    def greeting(
+    def extra_gossip(
         self, endpoint: tuple[str, int], *, now: float, draw: random.Random
     ) -> ToAgent:
         """Return a gossip message for an address, outside the usual rounds."""
--- a/monsoonpier/balancer/packets/directory.py
+++ b/monsoonpier/balancer/packets/directory.py
@@ -12,7 +12,13 @@
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.model.rendezvous import top
-from monsoonpier.wire.frames import MAX_ENTRIES, BalancerRecord, Find, Found, Register
+from monsoonpier.wire.frames import (
+    MAX_ENTRIES,
+    BalancerRecord,
+    DirectoryQuery,
+    DirectoryReply,
+    DirectoryUpdate,
+)
 
 __all__ = ["OwnerDirectory"]
 
@@ -61,13 +67,15 @@
         return [
             ToAgent(
                 endpoint=records_by_name[name].endpoint,
-                frame=Register(entries=tuple(entries[start : start + MAX_ENTRIES])),
+                frame=DirectoryUpdate(
+                    entries=tuple(entries[start : start + MAX_ENTRIES])
+                ),
             )
             for name, entries in entries_by_balancer.items()
             for start in range(0, len(entries), MAX_ENTRIES)
         ]
 
-    def store(self, frame: Register) -> None:
+    def store(self, frame: DirectoryUpdate) -> None:
         """Store the owners that another balancer has registered."""
         for flow, owner in frame.entries:
             self._store(flow, owner)
@@ -85,14 +93,18 @@
         records_by_name = self._membership.peers.near_by_name
         own = self._membership.peers.own.name
         return [
-            ToAgent(endpoint=records_by_name[name].endpoint, frame=Find(flow=flow))
+            ToAgent(
+                endpoint=records_by_name[name].endpoint, frame=DirectoryQuery(flow=flow)
+            )
             for name in _directory_balancers(flow, records_by_name)
             if name != own
         ]
 
-    def reply(self, frame: Find) -> Found:
+    def reply(self, frame: DirectoryQuery) -> DirectoryReply:
         """Return the reply to a query, with an empty owner if none is stored."""
-        return Found(flow=frame.flow, holder=self._owners_by_flow.get(frame.flow, ""))
+        return DirectoryReply(
+            flow=frame.flow, holder=self._owners_by_flow.get(frame.flow, "")
+        )
 
     def _store(self, flow: bytes, owner: str) -> None:
         """Store an entry; evict the oldest one if the directory is full."""
--- a/monsoonpier/balancer/packets/first_asked.py
+++ b/monsoonpier/balancer/packets/first_asked.py
@@ -15,10 +15,10 @@
 from monsoonpier.model.address import Address
 from monsoonpier.model.rendezvous import top
 from monsoonpier.wire.frames import (
+    AttemptRejected,
     BalancerRecord,
-    FirstAsked,
-    Refused,
-    WhenAsked,
+    FirstAttemptQuery,
+    FirstAttemptReply,
     to_milliseconds,
 )
 from monsoonpier.wire.packet import Packet
@@ -52,7 +52,7 @@
                 packet.caller_ip, packet.service_address, earlier, back_at=back_at
             )
             return []
-        frame = Refused(
+        frame = AttemptRejected(
             caller=packet.caller_ip,
             service=_endpoint(packet.service_address),
             asked_ms=to_milliseconds(now - earlier.asked_at),
@@ -69,7 +69,7 @@
         balancer = self._directory_balancer(packet)
         if balancer is None:
             return []
-        frame = WhenAsked(
+        frame = FirstAttemptQuery(
             flow=packet.flow,
             caller=packet.caller_ip,
             service=_endpoint(packet.service_address),
@@ -77,7 +77,7 @@
         )
         return [ToAgent(endpoint=balancer.endpoint, frame=frame)]
 
-    def store_rejection(self, frame: Refused, *, now: float) -> None:
+    def store_rejection(self, frame: AttemptRejected, *, now: float) -> None:
         """Store another balancer's report of a rejected caller."""
         self._returning.record(
             frame.caller,
@@ -87,7 +87,7 @@
         )
 
     def reply(
-        self, frame: WhenAsked, *, sender: tuple[str, int], now: float
+        self, frame: FirstAttemptQuery, *, sender: tuple[str, int], now: float
     ) -> list[ToAgent]:
         """Return the reply to a query; none if the caller has no record here."""
         came_at = now - frame.waited_ms / 1000
@@ -96,7 +96,7 @@
         )
         if earlier is None:
             return []
-        reply = FirstAsked(
+        reply = FirstAttemptReply(
             flow=frame.flow,
             asked_ms=to_milliseconds(now - earlier.asked_at),
             tries=earlier.attempts,
--- a/monsoonpier/balancer/packets/inquiries.py
+++ b/monsoonpier/balancer/packets/inquiries.py
@@ -10,11 +10,11 @@
 from monsoonpier.balancer.packets.scope import ServiceAgents, SteeringContext
 from monsoonpier.balancer.packets.tries import OwnerProbes
 from monsoonpier.wire.frames import (
-    Find,
-    Found,
-    Holds,
-    NotHeld,
-    Register,
+    DirectoryQuery,
+    DirectoryReply,
+    DirectoryUpdate,
+    FlowNotOwned,
+    OwnershipReply,
 )
 from monsoonpier.wire.packet import Packet
 
@@ -163,17 +163,17 @@
     ) -> list | None:
         """Handle a frame of the directory; ``None`` if it is another."""
         match frame:
-            case Register():
+            case DirectoryUpdate():
                 self._directory.store(frame)
                 return []
-            case Find():
+            case DirectoryQuery():
                 reply = self._directory.reply(frame)
                 return [ToAgent(endpoint=sender, frame=reply)]
-            case Found():
+            case DirectoryReply():
                 return self._on_directory_reply(frame, now=now)
         return None
 
-    def _on_directory_reply(self, frame: Found, *, now: float) -> list:
+    def _on_directory_reply(self, frame: DirectoryReply, *, now: float) -> list:
         """Forward to the reported owner, or query the agents if none is known."""
         entry = self._context.flows.get(frame.flow)
         if entry is None or entry.lookup is None:
@@ -207,7 +207,7 @@
 
     # Replies of agents
 
-    def on_agent_reply(self, frame: Holds, *, now: float) -> list:
+    def on_agent_reply(self, frame: OwnershipReply, *, now: float) -> list:
         """Handle an agent's reply to a query about many flows."""
         actions: list = []
         age_seconds = None if frame.run_ms is None else frame.run_ms / 1000
@@ -293,7 +293,9 @@
         lookup.denied.add(agent)
         return self._evaluate(entry, agents, now=now)
 
-    def on_denial(self, frame: NotHeld, packet: Packet | None, *, now: float) -> list:
+    def on_denial(
+        self, frame: FlowNotOwned, packet: Packet | None, *, now: float
+    ) -> list:
         """Handle an agent's reply that its target doesn't own a flow."""
         entry = self._context.flows.get(frame.flow)
         if entry is None:
--- a/monsoonpier/balancer/packets/openings.py
+++ b/monsoonpier/balancer/packets/openings.py
@@ -26,11 +26,11 @@
 from monsoonpier.process.readings import Histogram
 from monsoonpier.wire.frames import (
     MAX_TRIED,
-    FirstAsked,
-    Held,
-    Offer,
-    Queued,
-    Turned,
+    FirstAttemptReply,
+    FlowOwned,
+    OfferSlot,
+    SynQueued,
+    SynRejected,
 )
 from monsoonpier.wire.packet import Packet
 
@@ -129,7 +129,7 @@
         self._context.wait_statistics.count_requested(entry.service, route)
         return self._place(packet, entry, now=now, draw=draw)
 
-    def on_accepted(self, frame: Held, *, now: float) -> None:
+    def on_accepted(self, frame: FlowOwned, *, now: float) -> None:
         """Record that a target has answered a SYN."""
         self._context.membership.table.answered_flow(frame.agent)
         entry = self._context.flows.get(frame.flow)
@@ -139,7 +139,7 @@
         if frame.agent not in entry.owners:
             entry.owners = (*entry.owners, frame.agent)[-MAX_TRIED:]
 
-    def on_queued(self, frame: Queued, *, now: float) -> list:
+    def on_queued(self, frame: SynQueued, *, now: float) -> list:
         """Record that an agent has queued a SYN for a slot."""
         table = self._context.membership.table
         table.heard(frame.agent, frame.load, now=now)
@@ -154,7 +154,7 @@
         return []
 
     def on_rejected(
-        self, frame: Turned, packet: Packet, *, now: float, draw: random.Random
+        self, frame: SynRejected, packet: Packet, *, now: float, draw: random.Random
     ) -> list:
         """Place or queue a SYN again that an agent has rejected."""
         table = self._context.membership.table
@@ -179,7 +179,7 @@
             return []
         return self._place(packet, entry, now=now, draw=draw)
 
-    def on_offer(self, frame: Offer, *, now: float) -> list:
+    def on_offer(self, frame: OfferSlot, *, now: float) -> list:
         """Send the first queued flow to an agent that offers a slot."""
         self._context.membership.table.heard(frame.agent, frame.load, now=now)
         actions: list = []
@@ -207,7 +207,7 @@
             )
         return actions + self._backlog.decline(frame)
 
-    def on_first_attempt_reply(self, frame: FirstAsked, *, now: float) -> list:
+    def on_first_attempt_reply(self, frame: FirstAttemptReply, *, now: float) -> list:
         """Apply the first attempt that a caller's directory balancer reports."""
         return self._backlog.apply_first_attempt(frame, now=now)
 
--- a/monsoonpier/balancer/packets/process.py
+++ b/monsoonpier/balancer/packets/process.py
@@ -7,7 +7,7 @@
 import structlog
 
 from monsoonpier.balancer.actions import ToAgent
-from monsoonpier.balancer.member import Member, balancer_record
+from monsoonpier.balancer.member import BalancerNode, balancer_record
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.balancer.packets.scope import ResetCaller
 from monsoonpier.balancer.packets.steering import PacketSteering
@@ -24,7 +24,7 @@
 from monsoonpier.process.web import WebServer
 from monsoonpier.store.interface import Store
 from monsoonpier.wire.codec import Dropped
-from monsoonpier.wire.frames import Carry, NotHeld, Turned
+from monsoonpier.wire.frames import FlowNotOwned, ForwardPacket, SynRejected
 from monsoonpier.wire.packet import Packet, PacketCodec
 
 __all__ = ["PacketBalancerProcess"]
@@ -74,7 +74,7 @@
             reserves=settings.reserve_slots,
         )
         self._sender = LinkSender(bits_per_second=settings.link_bits_per_second)
-        self._member = Member(
+        self._member = BalancerNode(
             settings=settings,
             membership=self._membership,
             life=self._life,
@@ -157,7 +157,7 @@
     def _take_frame(self, frame, sender: tuple[str, int]) -> None:
         """Handle a frame of an agent or balancer."""
         packet: Packet | None = None
-        if isinstance(frame, NotHeld | Turned) and frame.payload:
+        if isinstance(frame, FlowNotOwned | SynRejected) and frame.payload:
             decoded = self._codec.decode(frame.payload, from_target=False)
             if isinstance(decoded, Dropped):
                 self._drop(decoded.reason)
@@ -176,7 +176,7 @@
         for action in actions:
             match action:
                 case ToAgent(endpoint=endpoint, frame=frame, flow=flow):
-                    is_control = not isinstance(frame, Carry)
+                    is_control = not isinstance(frame, ForwardPacket)
                     self._member.send(frame, endpoint, is_control=is_control, flow=flow)
                 case ResetCaller(packet=packet):
                     self._send_reset(packet)
--- a/monsoonpier/balancer/packets/questions.py
+++ b/monsoonpier/balancer/packets/questions.py
@@ -10,7 +10,7 @@
 
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.packets.scope import SteeringContext
-from monsoonpier.wire.frames import MAX_ASKED, Whose
+from monsoonpier.wire.frames import MAX_QUERIED_FLOWS, OwnershipQuery
 
 __all__ = ["OwnerQueries"]
 
@@ -54,9 +54,9 @@
         return [
             action
             for service, flows in asked.items()
-            for start in range(0, len(flows), MAX_ASKED)
+            for start in range(0, len(flows), MAX_QUERIED_FLOWS)
             for action in self._build_queries(
-                service, tuple(flows[start : start + MAX_ASKED]), now=now
+                service, tuple(flows[start : start + MAX_QUERIED_FLOWS]), now=now
             )
         ]
 
@@ -77,7 +77,7 @@
             self._context.log.note(
                 "owner queried", now=now, flow=flow, agents=len(names)
             )
-        frame = Whose(question=self._last_query, service=service, flows=flows)
+        frame = OwnershipQuery(question=self._last_query, service=service, flows=flows)
         return self._context.to_agents(frame, names=names)
 
     def _agents_to_query(self, service: str, flows: tuple[bytes, ...]) -> list[str]:
--- a/monsoonpier/balancer/packets/queueing.py
+++ b/monsoonpier/balancer/packets/queueing.py
@@ -21,7 +21,7 @@
 from monsoonpier.balancer.steering import Candidate
 from monsoonpier.model.service import PacketRoute
 from monsoonpier.model.waiting import MARGIN_RUNS, WaitingFlow
-from monsoonpier.wire.frames import FirstAsked, Offer
+from monsoonpier.wire.frames import FirstAttemptReply, OfferSlot
 from monsoonpier.wire.packet import Packet
 
 __all__ = ["QueueRejection", "FlowBacklog", "wait_expires_at", "is_in_time"]
@@ -169,7 +169,7 @@
         self._presence.forget(flow)
         return flow, self._reservations.cancel(flow)
 
-    def claim(self, offer: Offer, *, now: float) -> tuple[bytes, list] | None:
+    def claim(self, offer: OfferSlot, *, now: float) -> tuple[bytes, list] | None:
         """Remove and return the flow that fits an offered slot best, if any.
 
         Also returns the frames that cancel its reservations at other agents.
@@ -180,7 +180,7 @@
         self._presence.forget(flow)
         return flow, self._reservations.cancel(flow, kept=offer.agent)
 
-    def decline(self, offer: Offer) -> list:
+    def decline(self, offer: OfferSlot) -> list:
         """Return the frames that decline an offer for which no flow is left."""
         return self._reservations.decline(offer)
 
@@ -218,7 +218,7 @@
             actions += self._reposition(flow, entry, now=now)
         return actions
 
-    def apply_first_attempt(self, frame: FirstAsked, *, now: float) -> list:
+    def apply_first_attempt(self, frame: FirstAttemptReply, *, now: float) -> list:
         """Apply the first attempt that a caller's directory balancer reports."""
         entry = self._context.flows.get(frame.flow)
         if entry is None or entry.syn is None:
--- a/monsoonpier/balancer/packets/reservations.py
+++ b/monsoonpier/balancer/packets/reservations.py
@@ -22,7 +22,7 @@
 from monsoonpier.balancer.steering import Candidate
 from monsoonpier.model.target import QUEUE_AHEAD
 from monsoonpier.model.waiting import MARGIN_RUNS, RESERVATIONS_PER_FLOW
-from monsoonpier.wire.frames import Decline, Offer, Reserve
+from monsoonpier.wire.frames import DeclineSlot, OfferSlot, ReserveSlot
 
 __all__ = ["SlotReservations"]
 
@@ -117,14 +117,14 @@
         self, flow: bytes, names: tuple[str, ...], *, service: str
     ) -> list[ToAgent]:
         """Return the frames that cancel a flow's reservations at these agents."""
-        frame = Reserve(service=service, flow=flow, in_time_ms=0, wait_ms=0)
+        frame = ReserveSlot(service=service, flow=flow, in_time_ms=0, wait_ms=0)
         return self._context.to_agents(frame, names=names)
 
     def forget(self, flow: bytes) -> None:
         """Drop a flow that is no longer queued; offers for it go to other flows."""
         self._reserved_by_flow.pop(flow, None)
 
-    def claim(self, offer: Offer, *, now: float) -> bytes | None:
+    def claim(self, offer: OfferSlot, *, now: float) -> bytes | None:
         """Remove from the queue and return the flow that fits an offered slot best.
 
         Returns ``None`` if no flow may take the slot.
@@ -151,14 +151,14 @@
             answered_at=now + service_times * offer.load.service_ms / 1000,
         )
 
-    def decline(self, offer: Offer) -> list[ToAgent]:
+    def decline(self, offer: OfferSlot) -> list[ToAgent]:
         """Return the frames that decline an offer for which no flow is left."""
         record = self._context.membership.table.record(offer.agent)
         if record is None:
             return []
         self._context.counts_by_result["declined"] += 1
         return self._context.to_agents(
-            Decline(service=record.service), names=(offer.agent,)
+            DeclineSlot(service=record.service), names=(offer.agent,)
         )
 
     def _reserve(
--- a/monsoonpier/balancer/packets/scope.py
+++ b/monsoonpier/balancer/packets/scope.py
@@ -22,8 +22,8 @@
 from monsoonpier.wire.frames import (
     MAX_PRIORITY,
     MAX_TRIED,
-    Carry,
-    Reserve,
+    ForwardPacket,
+    ReserveSlot,
     to_milliseconds,
 )
 from monsoonpier.wire.packet import Packet
@@ -290,7 +290,7 @@
         return [
             ToAgent(
                 endpoint=(record.ip, record.port),
-                frame=Carry(
+                frame=ForwardPacket(
                     service=self._service_at(record, packet, entry),
                     payload=packet.raw,
                     tried=tried,
@@ -329,7 +329,7 @@
         is_offered: bool = False,
     ) -> list[ToAgent]:
         """Return the frame that forwards a SYN to a target, with its wait limits."""
-        frame = Carry(
+        frame = ForwardPacket(
             service=entry.service,
             payload=packet.raw,
             tried=entry.tried[-MAX_TRIED:],
@@ -344,7 +344,7 @@
         self, waiting: WaitingFlow, *, service: str, names: Iterable[str], now: float
     ) -> list[ToAgent]:
         """Return the frames that reserve slots for a queued flow."""
-        frame = Reserve(
+        frame = ReserveSlot(
             service=service,
             flow=waiting.flow,
             in_time_ms=to_milliseconds(waiting.in_time_until - now),
--- a/monsoonpier/balancer/packets/steering.py
+++ b/monsoonpier/balancer/packets/steering.py
@@ -22,16 +22,16 @@
 from monsoonpier.process.logs import DecisionLog
 from monsoonpier.process.readings import Reading
 from monsoonpier.wire.frames import (
-    FirstAsked,
-    Held,
-    Holds,
-    Load,
-    NotHeld,
-    Offer,
-    Queued,
-    Refused,
-    Turned,
-    WhenAsked,
+    AttemptRejected,
+    FirstAttemptQuery,
+    FirstAttemptReply,
+    FlowNotOwned,
+    FlowOwned,
+    LoadUpdate,
+    OfferSlot,
+    OwnershipReply,
+    SynQueued,
+    SynRejected,
 )
 from monsoonpier.wire.packet import Packet
 
@@ -170,32 +170,32 @@
             draw: Source of random numbers.
         """
         match frame:
-            case Load(load=load):
+            case LoadUpdate(load=load):
                 table = self._context.membership.table
                 table.heard(table.name_at(sender), load, now=now)
                 return self._new_flows.place_waiting(now=now, draw=draw)
-            case Held():
+            case FlowOwned():
                 return self._on_flow_owned(frame, now=now)
-            case NotHeld():
+            case FlowNotOwned():
                 return self._resolver.on_denial(frame, packet, now=now)
-            case Holds():
+            case OwnershipReply():
                 return self._resolver.on_agent_reply(frame, now=now)
-            case Offer():
+            case OfferSlot():
                 return self._new_flows.on_offer(frame, now=now)
-            case Queued():
+            case SynQueued():
                 return self._new_flows.on_queued(frame, now=now)
-            case Turned() if packet is not None:
+            case SynRejected() if packet is not None:
                 return self._new_flows.on_rejected(frame, packet, now=now, draw=draw)
-            case FirstAsked():
+            case FirstAttemptReply():
                 return self._new_flows.on_first_attempt_reply(frame, now=now)
-            case Refused():
+            case AttemptRejected():
                 self._context.first_attempts.store_rejection(frame, now=now)
                 return []
-            case WhenAsked():
+            case FirstAttemptQuery():
                 return self._context.first_attempts.reply(frame, sender=sender, now=now)
         return self._resolver.on_directory_frame(frame, sender=sender, now=now)
 
-    def _on_flow_owned(self, frame: Held, *, now: float) -> list:
+    def _on_flow_owned(self, frame: FlowOwned, *, now: float) -> list:
         """Handle an agent's report that its target has accepted or owns a flow."""
         table = self._context.membership.table
         table.heard(frame.agent, frame.load, now=now)
@@ -226,7 +226,7 @@
                 now=now,
             )
 
-    def _on_open(self, frame: Held, entry: FlowEntry, *, now: float) -> list:
+    def _on_open(self, frame: FlowOwned, entry: FlowEntry, *, now: float) -> list:
         """Record the confirmed owner of an open flow."""
         if entry.owners != (frame.agent,):
             self._context.log.note(
--- a/monsoonpier/balancer/packets/tries.py
+++ b/monsoonpier/balancer/packets/tries.py
@@ -12,7 +12,7 @@
 from monsoonpier.balancer.packets.flows import FlowEntry, OwnerLookup
 from monsoonpier.balancer.packets.scope import SteeringContext
 from monsoonpier.model.rendezvous import top
-from monsoonpier.wire.frames import MAX_PASSED_ON, PassOn
+from monsoonpier.wire.frames import MAX_PASSED_ON, RelayPacket
 from monsoonpier.wire.packet import Packet
 
 __all__ = ["OwnerProbes"]
@@ -93,7 +93,7 @@
         """Return the frame that has one agent relay a packet to the others."""
         first, *others = names
         records = [self._context.membership.table.record(name) for name in others]
-        frame = PassOn(
+        frame = RelayPacket(
             service=service,
             payload=packet.raw,
             endpoints=tuple((r.ip, r.port) for r in records if r is not None),
--- a/monsoonpier/balancer/steering.py
+++ b/monsoonpier/balancer/steering.py
@@ -7,7 +7,7 @@
 from monsoonpier.model.service import Preference
 from monsoonpier.model.target import Condition, LoadReport, TargetRecord
 
-__all__ = ["Candidate", "Chosen", "NoTarget", "choose"]
+__all__ = ["Candidate", "Chosen", "NoTarget", "choose_target"]
 
 FIRST_RAMP_WEIGHT = 0.1  # share of its capacity at which a cold target starts
 MIN_SPEED_RATIO = 0.2
@@ -67,7 +67,7 @@
     retry_after: float
 
 
-def choose(
+def choose_target(
     candidates: Sequence[Candidate],
     *,
     tried: tuple[str, ...] = (),
--- a/monsoonpier/balancer/table.py
+++ b/monsoonpier/balancer/table.py
@@ -128,7 +128,7 @@
             self.learn(entry.record.with_condition(Condition.GONE), now=now)
             self._names_by_endpoint[endpoint] = record.name
 
-    def heard(self, name: str, load: LoadReport, *, now: float) -> None:
+    def record_load(self, name: str, load: LoadReport, *, now: float) -> None:
         """Record a load report received directly from the target's agent."""
         entry = self._entries_by_name.get(name)
         if entry is None:
@@ -141,7 +141,7 @@
 
     def record_heartbeat(self, name: str, load: LoadReport, *, now: float) -> None:
         """Record a heartbeat, which makes this balancer an observer of the target."""
-        self.heard(name, load, now=now)
+        self.record_load(name, load, now=now)
         entry = self._entries_by_name.get(name)
         if entry is not None:
             entry.is_observed = True
@@ -279,7 +279,7 @@
         if now - entry.load_received_at > FAILED_STALE_SECONDS:
             entry.load = msgspec.structs.replace(entry.load, failed_percent=0)
 
-    def known_for(self, name: str, *, now: float) -> float:
+    def record_age(self, name: str, *, now: float) -> float:
         """Return seconds since the current record of a target was learned."""
         entry = self._entries_by_name.get(name)
         return now - entry.learned_at if entry is not None else 0.0
--- a/monsoonpier/balancer/tokens/decision.py
+++ b/monsoonpier/balancer/tokens/decision.py
@@ -6,7 +6,7 @@
 from monsoonpier.balancer.actions import ToAgent, ToCaller
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.balancer.peers import Peers
-from monsoonpier.balancer.steering import Chosen, NoTarget, choose
+from monsoonpier.balancer.steering import Chosen, NoTarget, choose_target
 from monsoonpier.balancer.table import TargetTable
 from monsoonpier.model.keys import KeyRing
 from monsoonpier.model.service import Configuration, Service
@@ -15,16 +15,16 @@
 from monsoonpier.wire.datagrams import (
     MIN_OPEN_BYTES,
     Open,
-    OpenRefused,
+    OpenRejected,
     caller_codec,
     reply_codec,
 )
 from monsoonpier.wire.frames import (
     MAX_TRIED,
     BalancerRecord,
-    Bounce,
-    Forward,
-    Return,
+    ForwardDatagram,
+    OpenReturned,
+    ReplyDatagram,
 )
 
 __all__ = ["Balancer"]
@@ -96,7 +96,9 @@
         if token.service != service:
             return self._drop("foreign_service")
         self.forwarded += 1
-        frame = Forward(service=service, ip=caller[0], port=caller[1], payload=payload)
+        frame = ForwardDatagram(
+            service=service, ip=caller[0], port=caller[1], payload=payload
+        )
         return ToAgent(endpoint=token.endpoint, frame=frame)
 
     def _place(
@@ -123,7 +125,7 @@
             case Chosen(record=record):
                 self.opens_by_result["placed"] += 1
                 self.table.sent_flow(record.name, now=now)
-                frame = Forward(
+                frame = ForwardDatagram(
                     service=service,
                     ip=caller[0],
                     port=caller[1],
@@ -134,7 +136,7 @@
             case NoTarget(reason=reason, retry_after=seconds):
                 self.opens_by_result["refused"] += 1
                 seconds = max(seconds, retry_after) * draw.uniform(0.5, 1.5)
-                rejection = OpenRefused(
+                rejection = OpenRejected(
                     flow=flow, reason=reason, retry_after_ms=int(seconds * 1000)
                 )
                 return ToCaller(
@@ -151,7 +153,7 @@
         now: float,
         draw: random.Random,
     ) -> Chosen | NoTarget:
-        return choose(
+        return choose_target(
             self.table.candidates(service, now=now),
             tried=tried,
             data_centre=self.peers.own.data_centre,
@@ -167,8 +169,8 @@
     ) -> list:
         """Process a frame received at the internal address; return actions."""
         match frame:
-            case Return():
-                self.table.heard(frame.agent, frame.load, now=now)
+            case ReplyDatagram():
+                self.table.record_load(frame.agent, frame.load, now=now)
                 if frame.opened:
                     self.table.answered_flow(frame.agent)
                 self.returned += 1
@@ -179,7 +181,7 @@
                         payload=frame.payload,
                     )
                 ]
-            case Bounce():
+            case OpenReturned():
                 return self._place_returned_open(frame, now=now, draw=draw)
         actions = self.membership.from_process(frame, sender=sender, now=now, draw=draw)
         if actions is None:
@@ -188,10 +190,10 @@
         return actions
 
     def _place_returned_open(
-        self, frame: Bounce, *, now: float, draw: random.Random
+        self, frame: OpenReturned, *, now: float, draw: random.Random
     ) -> list:
         """Send an OPEN that an agent rejected to another target."""
-        self.table.heard(frame.agent, frame.load, now=now)
+        self.table.record_load(frame.agent, frame.load, now=now)
         self.table.answered_flow(frame.agent)
         self.opens_by_result["bounced"] += 1
         message = caller_codec.decode(frame.payload)
--- a/monsoonpier/balancer/tokens/process.py
+++ b/monsoonpier/balancer/tokens/process.py
@@ -9,7 +9,7 @@
 import structlog
 
 from monsoonpier.balancer.actions import ToAgent, ToCaller
-from monsoonpier.balancer.member import Member, balancer_record
+from monsoonpier.balancer.member import BalancerNode, balancer_record
 from monsoonpier.balancer.tokens.decision import Balancer
 from monsoonpier.link.schedule import Urgency
 from monsoonpier.link.sender import LinkSender
@@ -45,7 +45,7 @@
         self._store = EtcdStore(addresses=settings.platform, draw=self._draw)
         self._rebind = asyncio.Event()
         self._sender = LinkSender(bits_per_second=settings.link_bits_per_second)
-        self._node = Member(
+        self._node = BalancerNode(
             settings=settings,
             membership=self._balancer.membership,
             life=self._life,
--- a/monsoonpier/caller/session.py
+++ b/monsoonpier/caller/session.py
@@ -10,19 +10,19 @@
     AnswerPart,
     Cancel,
     Close,
-    FlowGone,
+    FinalStatus,
+    FlowUnknown,
+    GoAway,
     Item,
-    Move,
     Open,
     Opened,
-    OpenRefused,
+    OpenRejected,
     Ping,
     Pong,
     Progress,
     StreamAck,
     StreamEnd,
     StreamOpen,
-    Verdict,
     caller_codec,
     reply_codec,
 )
@@ -300,10 +300,10 @@
         match message:
             case Opened(token=token):
                 return self._handle_opened(token, now=now)
-            case OpenRefused(reason=reason, retry_after_ms=wait) if not self.token:
+            case OpenRejected(reason=reason, retry_after_ms=wait) if not self.token:
                 self.is_closed = True
                 return [FlowRejected(reason=reason, retry_after=wait / 1000)]
-            case FlowGone() if self.token:
+            case FlowUnknown() if self.token:
                 return self._end_as_lost()
         if not self.token:
             self.dropped += 1
@@ -325,13 +325,13 @@
     def _handle_message(self, message, *, now: float) -> list:
         """Handle a message on an open flow."""
         match message:
-            case Progress() | AnswerPart() | Verdict():
+            case Progress() | AnswerPart() | FinalStatus():
                 return self._handle_request_message(message, now=now)
             case Item():
                 return self._handle_item(message, now=now)
             case StreamEnd():
                 return self._handle_stream_end(message, now=now)
-            case Move():
+            case GoAway():
                 if self.is_moving:
                     return []
                 self.is_moving = True
@@ -357,7 +357,7 @@
                 self._send(
                     *transfer.handle_answer_part(message, acked=self.acked, now=now)
                 )
-            case Verdict():
+            case FinalStatus():
                 transfer.handle_final_status(message)
         return self._finish_if_ended(message.request)
 
--- a/monsoonpier/caller/transfer.py
+++ b/monsoonpier/caller/transfer.py
@@ -18,10 +18,10 @@
     AnswerPart,
     Cancel,
     Fetch,
+    FinalStatus,
+    FinalStatusKind,
     Progress,
     RequestPart,
-    Verdict,
-    VerdictKind,
 )
 
 __all__ = ["Transfer"]
@@ -170,24 +170,24 @@
             return self._fetch_missing(acked, now=now)
         return []
 
-    def handle_final_status(self, message: Verdict) -> None:
+    def handle_final_status(self, message: FinalStatus) -> None:
         """Set the outcome of a request that ended without an answer."""
         if self.outcome is not None:
             return
         match message.kind:
-            case VerdictKind.NOT_RUN if self._is_cancelled:
+            case FinalStatusKind.NOT_RUN if self._is_cancelled:
                 self.outcome = Cancelled()
-            case VerdictKind.NOT_RUN:
+            case FinalStatusKind.NOT_RUN:
                 self.outcome = NotRun(
                     reason=message.reason,
                     retry_after=message.retry_after_ms / 1000,
                     reopen=message.reopen,
                 )
-            case VerdictKind.LATE:
+            case FinalStatusKind.LATE:
                 self.outcome = Late(reason=message.reason)
-            case VerdictKind.CANCELLED:
+            case FinalStatusKind.CANCELLED:
                 self.outcome = Cancelled()
-            case VerdictKind.UNKNOWN | VerdictKind.ALREADY_DONE:
+            case FinalStatusKind.UNKNOWN | FinalStatusKind.ALREADY_DONE:
                 self.outcome = Unknown(reason=message.reason)
 
     def end_as_lost(self) -> None:
--- a/monsoonpier/operator/session.py
+++ b/monsoonpier/operator/session.py
@@ -8,7 +8,12 @@
 from monsoonpier.store.etcd import EtcdStore
 from monsoonpier.store.interface import StoreError
 from monsoonpier.store.keys import BALANCERS
-from monsoonpier.wire.control import AskDrain, AskStatus, DrainReply, StatusReply
+from monsoonpier.wire.control import (
+    DrainReply,
+    DrainRequest,
+    StatusReply,
+    StatusRequest,
+)
 from monsoonpier.wire.frames import BalancerRecord, FrameCodec
 
 __all__ = ["OperatorSession"]
@@ -75,7 +80,7 @@
         try:
             reply = await ask(
                 control,
-                AskStatus(),
+                StatusRequest(),
                 keys=self._settings.keys,
                 timeout=STATUS_TIMEOUT_SECONDS,
             )
@@ -93,7 +98,7 @@
         Raises:
             NoAnswer: If the process does not respond as expected.
         """
-        reply = await ask(control, AskDrain(name=name), keys=self._settings.keys)
+        reply = await ask(control, DrainRequest(name=name), keys=self._settings.keys)
         if not isinstance(reply, DrainReply):
             raise NoAnswer(f"{control} sent an unexpected response")
         return reply
--- a/monsoonpier/process/control.py
+++ b/monsoonpier/process/control.py
@@ -14,9 +14,9 @@
 from monsoonpier.wire.codec import Dropped
 from monsoonpier.wire.control import (
     MAX_CONTROL_BYTES,
-    AskDrain,
     ControlCodec,
     DrainReply,
+    DrainRequest,
 )
 
 __all__ = ["ControlServer", "NoAnswer", "answer_drain", "ask"]
@@ -87,7 +87,7 @@
         self._context.term()
 
 
-def answer_drain(request: AskDrain, *, name: str, life: ProcessLife) -> DrainReply:
+def answer_drain(request: DrainRequest, *, name: str, life: ProcessLife) -> DrainReply:
     """Start the shutdown of this process if the request names it.
 
     Args:
--- a/monsoonpier/wire/control.py
+++ b/monsoonpier/wire/control.py
@@ -12,10 +12,10 @@
 from monsoonpier.wire.frames import BalancerRecord
 
 __all__ = [
-    "AskConfiguration",
-    "AskDrain",
-    "AskStatus",
-    "AskTable",
+    "ConfigurationRequest",
+    "DrainRequest",
+    "StatusRequest",
+    "TableRequest",
     "ConfigurationReply",
     "ControlCodec",
     "DrainReply",
@@ -31,7 +31,7 @@
     """Base of all control messages."""
 
 
-class AskConfiguration(_Control, tag=1, kw_only=True):
+class ConfigurationRequest(_Control, tag=1, kw_only=True):
     """Requests the configuration if its version is above ``newer_than``.
 
     An agent names its ``service`` and receives only that service's part, to save
@@ -49,7 +49,7 @@
     packed: bytes
 
 
-class AskTable(_Control, tag=3, kw_only=True):
+class TableRequest(_Control, tag=3, kw_only=True):
     """Requests the target records of the buckets whose digests differ."""
 
     digests: Annotated[tuple[bytes, ...], Meta(max_length=256)]
@@ -62,7 +62,7 @@
     balancers: tuple[BalancerRecord, ...]
 
 
-class AskStatus(_Control, tag=5, kw_only=True):
+class StatusRequest(_Control, tag=5, kw_only=True):
     """Requests the status of a process."""
 
 
@@ -95,7 +95,7 @@
     slot_use: dict[Name, float] = {}
 
 
-class AskDrain(_Control, tag=7, kw_only=True):
+class DrainRequest(_Control, tag=7, kw_only=True):
     """Requests a graceful shutdown, as SIGTERM does."""
 
     name: Name
@@ -109,13 +109,13 @@
 
 
 Control = (
-    AskConfiguration
+    ConfigurationRequest
     | ConfigurationReply
-    | AskTable
+    | TableRequest
     | TableReply
-    | AskStatus
+    | StatusRequest
     | StatusReply
-    | AskDrain
+    | DrainRequest
     | DrainReply
 )
 
--- a/monsoonpier/wire/datagrams.py
+++ b/monsoonpier/wire/datagrams.py
@@ -17,11 +17,11 @@
     "Cancel",
     "Close",
     "Fetch",
-    "FlowGone",
+    "FlowUnknown",
     "Item",
-    "Move",
+    "GoAway",
     "Open",
-    "OpenRefused",
+    "OpenRejected",
     "Opened",
     "Ping",
     "Pong",
@@ -30,8 +30,8 @@
     "StreamAck",
     "StreamEnd",
     "StreamOpen",
-    "Verdict",
-    "VerdictKind",
+    "FinalStatus",
+    "FinalStatusKind",
     "caller_codec",
     "reply_codec",
 ]
@@ -141,7 +141,7 @@
     token: Token
 
 
-class OpenRefused(_Message, tag=33, kw_only=True, gc=False):
+class OpenRejected(_Message, tag=33, kw_only=True, gc=False):
     """Rejects an `Open`: no target accepts the flow now."""
 
     reason: Reason
@@ -174,7 +174,7 @@
     body: Body
 
 
-class VerdictKind(IntEnum):
+class FinalStatusKind(IntEnum):
     """Final results of a request that has no answer body."""
 
     NOT_RUN = 1
@@ -184,14 +184,14 @@
     CANCELLED = 5
 
 
-class Verdict(_Message, tag=36, kw_only=True, gc=False):
+class FinalStatus(_Message, tag=36, kw_only=True, gc=False):
     """Reports the final result of a request that has no answer body.
 
     With ``reopen`` the caller should open another flow for its retry.
     """
 
     request: Count
-    kind: VerdictKind
+    kind: FinalStatusKind
     reason: Reason
     retry_after_ms: Millis = 0
     reopen: bool = False
@@ -218,11 +218,11 @@
     reopen: bool = False
 
 
-class Move(_Message, tag=39, kw_only=True, gc=False):
+class GoAway(_Message, tag=39, kw_only=True, gc=False):
     """Tells the caller to move to a new flow: the flow's owner is leaving."""
 
 
-class FlowGone(_Message, tag=40, kw_only=True, gc=False):
+class FlowUnknown(_Message, tag=40, kw_only=True, gc=False):
     """Reports that the owner named by the token is gone or has dropped the flow."""
 
 
@@ -233,14 +233,14 @@
 FromCaller = Open | Ping | Close | RequestPart | Fetch | Cancel | StreamOpen | StreamAck
 ToCaller = (
     Opened
-    | OpenRefused
+    | OpenRejected
     | Progress
     | AnswerPart
-    | Verdict
+    | FinalStatus
     | Item
     | StreamEnd
-    | Move
-    | FlowGone
+    | GoAway
+    | FlowUnknown
     | Pong
 )
 
--- a/monsoonpier/wire/frames.py
+++ b/monsoonpier/wire/frames.py
@@ -19,31 +19,31 @@
 __all__ = [
     "Announce",
     "BalancerRecord",
-    "Bounce",
-    "Carry",
-    "Decline",
-    "Find",
-    "Forward",
-    "Found",
-    "FirstAsked",
+    "OpenReturned",
+    "ForwardPacket",
+    "DeclineSlot",
+    "DirectoryQuery",
+    "ForwardDatagram",
+    "DirectoryReply",
+    "FirstAttemptReply",
     "FrameCodec",
     "Gossip",
     "Heartbeat",
-    "Held",
-    "Holds",
-    "Load",
-    "NotHeld",
-    "Offer",
-    "PassOn",
-    "Queued",
-    "Refused",
-    "Register",
-    "Reserve",
-    "Turned",
-    "WhenAsked",
-    "Whose",
+    "FlowOwned",
+    "OwnershipReply",
+    "LoadUpdate",
+    "FlowNotOwned",
+    "OfferSlot",
+    "RelayPacket",
+    "SynQueued",
+    "AttemptRejected",
+    "DirectoryUpdate",
+    "ReserveSlot",
+    "SynRejected",
+    "FirstAttemptQuery",
+    "OwnershipQuery",
     "HeartbeatAck",
-    "Return",
+    "ReplyDatagram",
     "SilenceReport",
     "to_milliseconds",
 ]
@@ -53,7 +53,7 @@
 MAX_RECORDS = 8  # per gossip datagram
 MAX_SILENCES = 16
 MAX_BALANCERS = 16
-MAX_ASKED = 80  # flows, at 14 bytes each
+MAX_QUERIED_FLOWS = 80  # flows, at 14 bytes each
 MAX_PASSED_ON = 36  # agents, at 20 bytes each beside a packet of 1,231 bytes
 MAX_MILLISECONDS = 3_600_000  # one hour
 MAX_PRIORITY = 255
@@ -81,7 +81,7 @@
     """Base of all frames, which are arrays that begin with the tag."""
 
 
-class Forward(_Frame, tag=1, kw_only=True, gc=False):
+class ForwardDatagram(_Frame, tag=1, kw_only=True, gc=False):
     """Forwards a caller's datagram to an agent.
 
     With an OPEN, ``tried`` names the targets that it has been sent to.
@@ -94,7 +94,7 @@
     tried: Tried = ()
 
 
-class Return(_Frame, tag=2, kw_only=True, gc=False):
+class ReplyDatagram(_Frame, tag=2, kw_only=True, gc=False):
     """Carries an agent's datagram to a caller by way of the balancer.
 
     ``opened`` reports that the agent accepted a new flow.
@@ -109,7 +109,7 @@
     opened: bool = False
 
 
-class Bounce(_Frame, tag=3, kw_only=True, gc=False):
+class OpenReturned(_Frame, tag=3, kw_only=True, gc=False):
     """Returns a rejected OPEN, so that the balancer tries another target."""
 
     service: Name
@@ -221,7 +221,7 @@
     store_generation: Annotated[int, Meta(ge=0, le=MAX_GENERATION)] = 0
 
 
-class Carry(_Frame, tag=9, kw_only=True, gc=False):
+class ForwardPacket(_Frame, tag=9, kw_only=True, gc=False):
     """Forwards a packet of a flow without a token to an agent.
 
     ``asks`` requests a reply in any case, since the balancer doesn't know
@@ -245,7 +245,7 @@
     is_offered: bool = False
 
 
-class Held(_Frame, tag=10, kw_only=True, gc=False):
+class FlowOwned(_Frame, tag=10, kw_only=True, gc=False):
     """Reports that an agent's target owns a flow.
 
     ``is_open`` is false until the handshake is complete.
@@ -257,7 +257,7 @@
     is_open: bool
 
 
-class NotHeld(_Frame, tag=11, kw_only=True, gc=False):
+class FlowNotOwned(_Frame, tag=11, kw_only=True, gc=False):
     """Reports that an agent's target doesn't own a flow.
 
     ``payload`` returns the packet, unless the balancer requested a reply: then it
@@ -269,7 +269,7 @@
     payload: Payload = b""
 
 
-class Turned(_Frame, tag=12, kw_only=True, gc=False):
+class SynRejected(_Frame, tag=12, kw_only=True, gc=False):
     """Returns a SYN that an agent or its target rejected, for another target."""
 
     agent: Name
@@ -279,7 +279,7 @@
     load: LoadReport
 
 
-class Queued(_Frame, tag=20, kw_only=True, gc=False):
+class SynQueued(_Frame, tag=20, kw_only=True, gc=False):
     """Reports that a SYN waits at an agent for a slot of its target."""
 
     flow: FlowAddress
@@ -287,7 +287,7 @@
     load: LoadReport
 
 
-class Reserve(_Frame, tag=21, kw_only=True, gc=False):
+class ReserveSlot(_Frame, tag=21, kw_only=True, gc=False):
     """Requests a slot for a flow whose SYN waits at the balancer.
 
     The balancer may request slots of several agents and use the first one offered.
@@ -302,7 +302,7 @@
     priority: Annotated[int, Meta(ge=0, le=MAX_PRIORITY)] = 0
 
 
-class Offer(_Frame, tag=22, kw_only=True, gc=False):
+class OfferSlot(_Frame, tag=22, kw_only=True, gc=False):
     """Offers a slot, for a short time, to a balancer that has requested one.
 
     ``is_late_turn`` asks for a flow that can't meet its latency target any more, the
@@ -314,13 +314,13 @@
     is_late_turn: bool = False
 
 
-class Decline(_Frame, tag=23, kw_only=True, gc=False):
+class DeclineSlot(_Frame, tag=23, kw_only=True, gc=False):
     """Declines a slot offer: the balancer has no waiting flow left."""
 
     service: Name
 
 
-class Load(_Frame, tag=13, kw_only=True, gc=False):
+class LoadUpdate(_Frame, tag=13, kw_only=True, gc=False):
     """Reports a changed load to the balancers that send flows to the agent.
 
     The agent is identified by the sender's address, which keeps this frame small:
@@ -330,7 +330,7 @@
     load: LoadReport
 
 
-class Register(_Frame, tag=14, kw_only=True, gc=False):
+class DirectoryUpdate(_Frame, tag=14, kw_only=True, gc=False):
     """Registers flows and their owners at the flows' directory balancers."""
 
     entries: Annotated[
@@ -338,28 +338,28 @@
     ]
 
 
-class Find(_Frame, tag=15, kw_only=True, gc=False):
+class DirectoryQuery(_Frame, tag=15, kw_only=True, gc=False):
     """Asks a flow's directory balancer for the flow's owner."""
 
     flow: FlowAddress
 
 
-class Found(_Frame, tag=16, kw_only=True, gc=False):
+class DirectoryReply(_Frame, tag=16, kw_only=True, gc=False):
     """Answers with the owner of a flow; ``holder`` is empty if none is known."""
 
     flow: FlowAddress
     holder: Annotated[str, Meta(max_length=64)]
 
 
-class Whose(_Frame, tag=17, kw_only=True, gc=False):
+class OwnershipQuery(_Frame, tag=17, kw_only=True, gc=False):
     """Asks an agent which of ``flows`` its target owns."""
 
     question: int
     service: Name
-    flows: Annotated[tuple[FlowAddress, ...], Meta(max_length=MAX_ASKED)]
+    flows: Annotated[tuple[FlowAddress, ...], Meta(max_length=MAX_QUERIED_FLOWS)]
 
 
-class Holds(_Frame, tag=18, kw_only=True, gc=False):
+class OwnershipReply(_Frame, tag=18, kw_only=True, gc=False):
     """Answers which of the flows in a query the agent's target owns.
 
     ``is_sure`` says that it doesn't own the others; an agent that was started
@@ -370,13 +370,13 @@
 
     question: int
     agent: Name
-    held: Annotated[tuple[FlowAddress, ...], Meta(max_length=MAX_ASKED)]
+    held: Annotated[tuple[FlowAddress, ...], Meta(max_length=MAX_QUERIED_FLOWS)]
     is_sure: bool
     run_ms: int | None = None
     is_absent: bool = False
 
 
-class PassOn(_Frame, tag=19, kw_only=True, gc=False):
+class RelayPacket(_Frame, tag=19, kw_only=True, gc=False):
     """Forwards a caller's packet to an agent, which relays it to other agents.
 
     Each agent replies to the balancer that sent this frame.
@@ -387,7 +387,7 @@
     endpoints: Annotated[tuple[Endpoint, ...], Meta(max_length=MAX_PASSED_ON)]
 
 
-class Refused(_Frame, tag=30, kw_only=True, gc=False):
+class AttemptRejected(_Frame, tag=30, kw_only=True, gc=False):
     """Reports to a caller's directory balancer that an attempt got no slot.
 
     ``tries`` counts the caller's attempts, including this one.
@@ -403,7 +403,7 @@
     tries: Tries = 1
 
 
-class WhenAsked(_Frame, tag=31, kw_only=True, gc=False):
+class FirstAttemptQuery(_Frame, tag=31, kw_only=True, gc=False):
     """Asks a caller's directory balancer for the time of its first attempt.
 
     ``waited_ms`` is the time since the first SYN of ``flow`` was sent.
@@ -415,7 +415,7 @@
     waited_ms: Milliseconds = 0
 
 
-class FirstAsked(_Frame, tag=32, kw_only=True, gc=False):
+class FirstAttemptReply(_Frame, tag=32, kw_only=True, gc=False):
     """Answers with the time since a caller's first attempt, if it is known.
 
     ``tries`` counts its attempts before this flow.
@@ -427,32 +427,32 @@
 
 
 Frame = (
-    Forward
-    | Return
-    | Bounce
+    ForwardDatagram
+    | ReplyDatagram
+    | OpenReturned
     | Heartbeat
     | HeartbeatAck
     | BalancerRecord
     | Announce
     | Gossip
-    | Carry
-    | Held
-    | NotHeld
-    | Turned
-    | Load
-    | Register
-    | Find
-    | Found
-    | Whose
-    | Holds
-    | PassOn
-    | Queued
-    | Reserve
-    | Offer
-    | Decline
-    | Refused
-    | WhenAsked
-    | FirstAsked
+    | ForwardPacket
+    | FlowOwned
+    | FlowNotOwned
+    | SynRejected
+    | LoadUpdate
+    | DirectoryUpdate
+    | DirectoryQuery
+    | DirectoryReply
+    | OwnershipQuery
+    | OwnershipReply
+    | RelayPacket
+    | SynQueued
+    | ReserveSlot
+    | OfferSlot
+    | DeclineSlot
+    | AttemptRejected
+    | FirstAttemptQuery
+    | FirstAttemptReply
 )
 
 
--- a/monsoonpier/wire/urgency.py
+++ b/monsoonpier/wire/urgency.py
@@ -2,21 +2,30 @@
 
 from monsoonpier.link.schedule import Urgency
 from monsoonpier.wire.frames import (
-    Bounce,
-    Carry,
-    Forward,
-    NotHeld,
-    PassOn,
-    Return,
-    Turned,
-    Whose,
+    FlowNotOwned,
+    ForwardDatagram,
+    ForwardPacket,
+    OpenReturned,
+    OwnershipQuery,
+    RelayPacket,
+    ReplyDatagram,
+    SynRejected,
 )
 
 __all__ = ["urgency_of"]
 
 # Frames that carry packets, or that can be as large and numerous: an ownership query
 # to every agent of a service would delay heartbeats for too long.
-_BULK_FRAMES = Bounce | Carry | Forward | NotHeld | PassOn | Return | Turned | Whose
+_BULK_FRAMES = (
+    OpenReturned
+    | ForwardPacket
+    | ForwardDatagram
+    | FlowNotOwned
+    | RelayPacket
+    | ReplyDatagram
+    | SynRejected
+    | OwnershipQuery
+)
 
 
 def urgency_of(frame, *, size: int) -> Urgency:
--- a/standins/packets/simulation.py
+++ b/standins/packets/simulation.py
@@ -31,12 +31,12 @@
 from monsoonpier.process.logs import DecisionLog
 from monsoonpier.wire.frames import (
     BalancerRecord,
-    Carry,
-    Decline,
-    NotHeld,
-    Reserve,
-    Turned,
-    Whose,
+    DeclineSlot,
+    FlowNotOwned,
+    ForwardPacket,
+    OwnershipQuery,
+    ReserveSlot,
+    SynRejected,
 )
 from monsoonpier.wire.packet import Packet
 
@@ -584,7 +584,7 @@
         if not self._is_up(number):
             return
         packet = None
-        if isinstance(frame, NotHeld | Turned) and frame.payload:
+        if isinstance(frame, FlowNotOwned | SynRejected) and frame.payload:
             packet = self._packets_by_raw[frame.payload]
         actions = self._balancers[number].from_process(
             frame, packet, sender=sender, now=self.now, draw=self.draw
@@ -618,7 +618,7 @@
             self._schedule_after(RETRY_SECONDS, self._retry_waiting, number)
 
     def _count_placed(self, frame, target: int, balancer: int) -> None:
-        if isinstance(frame, Carry) and frame.tried:
+        if isinstance(frame, ForwardPacket) and frame.tried:
             self._placed += 1
             self._remote += target % DATA_CENTRES != balancer % DATA_CENTRES
 
@@ -635,18 +635,18 @@
         if self._is_in_outage or self.now < self.targets[port].up_at:
             return
         target = self.targets[port]
-        if isinstance(frame, Whose):
+        if isinstance(frame, OwnershipQuery):
             sender = ("10.1.0.1", balancer)
             replies = target.holder.ask(frame, sender=sender, now=self.now)
             self._apply_agent_actions(target, replies)
             return
         sender = ("10.1.0.1", balancer)
         match frame:
-            case Reserve():
+            case ReserveSlot():
                 actions = target.holder.reserve(frame, balancer=sender, now=self.now)
                 self._apply_agent_actions(target, actions)
                 return
-            case Decline():
+            case DeclineSlot():
                 actions = target.holder.declined(balancer=sender, now=self.now)
                 self._apply_agent_actions(target, actions)
                 return
--- a/tests/agent/test_named_cases.py
+++ b/tests/agent/test_named_cases.py
@@ -23,8 +23,10 @@
     Cancel,
     Close,
     Fetch,
-    FlowGone,
-    Move,
+    FinalStatus,
+    FinalStatusKind,
+    FlowUnknown,
+    GoAway,
     Open,
     Opened,
     Ping,
@@ -32,11 +34,9 @@
     RequestPart,
     StreamAck,
     StreamOpen,
-    Verdict,
-    VerdictKind,
     caller_codec,
 )
-from monsoonpier.wire.frames import Forward
+from monsoonpier.wire.frames import ForwardDatagram
 from tests.rig import KEYS, Rig, holder, record
 
 FLOW = b"f" * 16
@@ -56,7 +56,7 @@
 
     def send(self, message, *, service: str = "maps", via=VIA) -> list:
         """Pass a caller's message to the agent; return its actions."""
-        frame = Forward(
+        frame = ForwardDatagram(
             service=service,
             ip="10.9.9.9",
             port=5000,
@@ -100,7 +100,7 @@
 def statuses(actions: list) -> list:
     """Return the kinds of final status among the replies."""
     messages = [a.message for a in actions if isinstance(a, Reply)]
-    return [m.kind for m in messages if isinstance(m, Verdict)]
+    return [m.kind for m in messages if isinstance(m, FinalStatus)]
 
 
 class AtMostOnceTests(unittest.TestCase):
@@ -114,13 +114,13 @@
         agent.tick(1.0)
         again = agent.request(1)
         self.assertEqual(runs(again), 0)
-        self.assertEqual(statuses(again), [VerdictKind.NOT_RUN])
+        self.assertEqual(statuses(again), [FinalStatusKind.NOT_RUN])
 
     def test_duplicate_after_rejection_while_draining(self):
         """A request rejected while draining doesn't run after draining ends."""
         agent = AgentHarness()
         agent.owner.leave(now=agent.now)
-        self.assertEqual(statuses(agent.request(1)), [VerdictKind.NOT_RUN])
+        self.assertEqual(statuses(agent.request(1)), [FinalStatusKind.NOT_RUN])
         agent.owner.stay(now=agent.now)
         agent.owner.life = agent.owner.life.healthy(now=agent.now)
         self.assertEqual(runs(agent.request(1)), 0)
@@ -132,7 +132,7 @@
         agent.owner = holder(record("maps-1", epoch=2))
         answer = agent.request(1)
         self.assertEqual(runs(answer), 0)
-        self.assertIsInstance(answer[0].message, FlowGone)
+        self.assertIsInstance(answer[0].message, FlowUnknown)
 
     def test_same_flow_reopened_at_new_instance(self):
         """A token of the old instance is invalid though the flow id is open."""
@@ -143,7 +143,7 @@
         agent.token = old
         answer = agent.request(1)
         self.assertEqual(runs(answer), 0)
-        self.assertIsInstance(answer[0].message, FlowGone)
+        self.assertIsInstance(answer[0].message, FlowUnknown)
 
     def test_old_open_and_request_after_close(self):
         """A duplicate OPEN and request after CLOSE run nothing."""
@@ -154,16 +154,16 @@
         agent.send(Open(flow=FLOW, padding=bytes(MIN_OPEN_BYTES)))
         answer = agent.request(1)
         self.assertEqual(runs(answer), 0)
-        self.assertIsInstance(answer[0].message, FlowGone)
+        self.assertIsInstance(answer[0].message, FlowUnknown)
 
     def test_deadline_while_running(self):
         """A request whose deadline passes while it runs is late, and stays late."""
         agent = AgentHarness()
         agent.request(1, time_left_ms=200)
-        self.assertEqual(statuses(agent.tick(0.3)), [VerdictKind.LATE])
+        self.assertEqual(statuses(agent.tick(0.3)), [FinalStatusKind.LATE])
         after = agent.end(1, Answered(status=200, body=b"late", seconds=0.4))
         self.assertEqual([a for a in after if isinstance(a, Reply)], [])
-        self.assertEqual(statuses(agent.request(1)), [VerdictKind.LATE])
+        self.assertEqual(statuses(agent.request(1)), [FinalStatusKind.LATE])
 
     def test_deadline_in_queue(self):
         """A request whose deadline passes in the queue is "not run" at once."""
@@ -171,7 +171,7 @@
         for number in (1, 2, 3):
             agent.request(number, time_left_ms=5000)
         agent.request(4, time_left_ms=150)
-        self.assertEqual(statuses(agent.tick(0.2)), [VerdictKind.NOT_RUN])
+        self.assertEqual(statuses(agent.tick(0.2)), [FinalStatusKind.NOT_RUN])
         self.assertEqual(agent.owner.requests.queued, 0)
         after = agent.end(1, Answered(status=200, body=b"", seconds=0.2))
         self.assertEqual(runs(after), 0)
@@ -184,7 +184,7 @@
         agent.send(Ping(flow=FLOW, token=agent.token, acked=2))
         again = agent.request(1)
         self.assertEqual(runs(again), 0)
-        self.assertEqual(statuses(again), [VerdictKind.ALREADY_DONE])
+        self.assertEqual(statuses(again), [FinalStatusKind.ALREADY_DONE])
 
     def test_beyond_window(self):
         """An id beyond the window is dropped: no tombstone could be kept."""
@@ -208,10 +208,10 @@
     def test_results_of_target(self):
         """Each result of a run leads to its final status."""
         table = (
-            (Shed(retry_after=0.1), VerdictKind.NOT_RUN),
-            (NeverSent(reason="refused"), VerdictKind.NOT_RUN),
-            (Broke(reason="reset"), VerdictKind.UNKNOWN),
-            (TimedOut(), VerdictKind.LATE),
+            (Shed(retry_after=0.1), FinalStatusKind.NOT_RUN),
+            (NeverSent(reason="refused"), FinalStatusKind.NOT_RUN),
+            (Broke(reason="reset"), FinalStatusKind.UNKNOWN),
+            (TimedOut(), FinalStatusKind.LATE),
         )
         for result, status in table:
             with self.subTest(result=result):
@@ -224,7 +224,7 @@
         agent = AgentHarness()
         answer = agent.request(1, digest=b"0" * 16)
         self.assertEqual(runs(answer), 0)
-        self.assertEqual(statuses(answer), [VerdictKind.NOT_RUN])
+        self.assertEqual(statuses(answer), [FinalStatusKind.NOT_RUN])
 
     def test_unknown_request_is_asked_for(self):
         """Fetching an unknown request is answered with no received parts."""
@@ -248,7 +248,9 @@
         waits = []
         for number in range(1, 60):
             for action in agent.request(number, time_left_ms=9000):
-                if isinstance(action, Reply) and isinstance(action.message, Verdict):
+                if isinstance(action, Reply) and isinstance(
+                    action.message, FinalStatus
+                ):
                     waits.append(action.message.retry_after_ms)
         self.assertEqual(len(waits), 59 - 6)
         self.assertGreater(sum(waits[-10:]), 2 * sum(waits[:10]))
@@ -259,7 +261,7 @@
         agent.request(1)
         agent.end(1, Answered(status=200, body=b"k", seconds=0.1))
         agent.owner.requests._kept_bytes = MAX_KEPT_BYTES
-        self.assertEqual(statuses(agent.request(2)), [VerdictKind.NOT_RUN])
+        self.assertEqual(statuses(agent.request(2)), [FinalStatusKind.NOT_RUN])
         self.assertIsInstance(agent.request(1)[0].message, AnswerPart)
 
     def test_upload_gap_is_reported_once(self):
@@ -300,7 +302,7 @@
         agent.token = seal_token(other, flow=FLOW, keys=KEYS)
         answer = agent.request(1)
         self.assertEqual(runs(answer), 0)
-        self.assertIsInstance(answer[0].message, FlowGone)
+        self.assertIsInstance(answer[0].message, FlowUnknown)
 
     def test_opened_is_smaller_than_open(self):
         """The reply to OPEN is no larger than the OPEN."""
@@ -328,7 +330,7 @@
         agent.owner.leave(now=agent.now)
         opened = agent.send(Open(flow=b"n" * 16, padding=bytes(MIN_OPEN_BYTES)))
         self.assertNotIsInstance(opened[0], Reply)
-        self.assertEqual(statuses(agent.request(1)), [VerdictKind.NOT_RUN])
+        self.assertEqual(statuses(agent.request(1)), [FinalStatusKind.NOT_RUN])
 
     def test_in_flight_finishes(self):
         """The agent doesn't finish while a request runs."""
@@ -386,7 +388,7 @@
         for _ in range(20):
             asked += agent.tick(0.1)
         moves = [
-            a for a in asked if isinstance(a, Reply) and isinstance(a.message, Move)
+            a for a in asked if isinstance(a, Reply) and isinstance(a.message, GoAway)
         ]
         self.assertGreaterEqual(len(moves), 3)
         self.assertEqual(len({a.via for a in moves}), 2)
@@ -449,7 +451,7 @@
         agent = self._silent()
         agent.owner.life = agent.owner.life.healthy(now=agent.now)
         self.assertEqual(agent.owner.life.state, "unresponsive")
-        self.assertEqual(statuses(agent.request(4)), [VerdictKind.NOT_RUN])
+        self.assertEqual(statuses(agent.request(4)), [FinalStatusKind.NOT_RUN])
         agent.tick(2.1)
         self.assertEqual(runs(agent.request(5)), 1)
         self.assertEqual(runs(agent.request(6)), 0)
@@ -499,7 +501,7 @@
         for number in (2, 3, 4):
             agent.request(number, time_left_ms=5000)
         self.assertEqual(
-            statuses(agent.request(5, time_left_ms=350)), [VerdictKind.NOT_RUN]
+            statuses(agent.request(5, time_left_ms=350)), [FinalStatusKind.NOT_RUN]
         )
         self.assertEqual(statuses(agent.request(6, time_left_ms=5000)), [])
 
--- a/tests/balancer/test_decision.py
+++ b/tests/balancer/test_decision.py
@@ -14,16 +14,16 @@
 from monsoonpier.wire.datagrams import (
     MIN_OPEN_BYTES,
     Open,
-    OpenRefused,
+    OpenRejected,
     Ping,
     caller_codec,
     reply_codec,
 )
 from monsoonpier.wire.frames import (
     Announce,
-    Bounce,
     Heartbeat,
-    Return,
+    OpenReturned,
+    ReplyDatagram,
     SilenceReport,
 )
 from tests.rig import CALLER, KEYS, balancer, record, service
@@ -114,7 +114,7 @@
         one = self._with_targets(2)
         first = send(one, OPEN)
         load = LoadReport(number=9, condition=Condition.LEAVING)
-        bounce = Bounce(
+        bounce = OpenReturned(
             service="maps",
             ip=CALLER[0],
             port=CALLER[1],
@@ -128,7 +128,7 @@
         (second,) = frame(one, bounce)
         self.assertIsInstance(second, ToAgent)
         self.assertNotEqual(second.endpoint, first.endpoint)
-        last = Bounce(
+        last = OpenReturned(
             service="maps",
             ip=CALLER[0],
             port=CALLER[1],
@@ -142,7 +142,7 @@
         (refused,) = frame(one, last)
         self.assertIsInstance(refused, ToCaller)
         message = reply_codec.decode(refused.payload)
-        self.assertIsInstance(message, OpenRefused)
+        self.assertIsInstance(message, OpenRejected)
         self.assertGreater(message.retry_after_ms, 300)
 
     def test_targets_that_are_not_allowed(self):
@@ -169,7 +169,7 @@
         one = self._with_targets(1)
         for _ in range(3):
             send(one, OPEN)
-        reply = Return(
+        reply = ReplyDatagram(
             service="maps",
             ip=CALLER[0],
             port=CALLER[1],
@@ -203,7 +203,7 @@
         """A balancer fetches a newer version from the peer that gossips it."""
         old, new = balancer("b1", host=1), balancer("b2", host=2)
         new.membership.configure(Configuration(version=5))
-        gossip = new.membership.greeting(
+        gossip = new.membership.extra_gossip(
             ("10.2.0.1", 9000), now=1.0, draw=random.Random(1)
         ).frame
         actions = frame(old, gossip, sender=("10.2.0.2", 9000))
--- a/tests/balancer/test_evacuation.py
+++ b/tests/balancer/test_evacuation.py
@@ -17,7 +17,7 @@
 from monsoonpier.model.evacuation import Evacuation, Evacuations
 from monsoonpier.store.interface import Put
 from monsoonpier.store.keys import CONFIGURATION, CONFIGURATION_COPY, EVACUATIONS
-from monsoonpier.wire.frames import Carry, FrameCodec, Gossip, HeartbeatAck
+from monsoonpier.wire.frames import ForwardPacket, FrameCodec, Gossip, HeartbeatAck
 from standins.fake_store import FakeStore
 from tests.packets.rig import CONVERGED, OWN, SteeringRig, packet, record
 from tests.rig import KEYS, balancer
@@ -130,7 +130,7 @@
         for number in range(1, flows + 1):
             for action in rig.caller(packet(number, syn=True)):
                 assert isinstance(action, ToAgent)
-                if isinstance(action.frame, Carry):
+                if isinstance(action.frame, ForwardPacket):
                     found.add(action.endpoint[0])
         return found
 
--- a/tests/balancer/test_steering.py
+++ b/tests/balancer/test_steering.py
@@ -4,7 +4,7 @@
 import unittest
 from collections import Counter
 
-from monsoonpier.balancer.steering import Candidate, Chosen, NoTarget, choose
+from monsoonpier.balancer.steering import Candidate, Chosen, NoTarget, choose_target
 from monsoonpier.model.service import Preference
 from monsoonpier.model.target import Condition, LoadReport
 from tests.rig import record
@@ -35,7 +35,7 @@
     }
     counts: Counter = Counter()
     for _ in range(count):
-        match choose(candidates, **fields | options):
+        match choose_target(candidates, **fields | options):
             case Chosen(record=chosen):
                 counts[chosen.name] += 1
             case NoTarget(reason=reason):
@@ -113,7 +113,7 @@
 
     def test_empty_table(self):
         """Without targets the result is a rejection with a retry delay."""
-        choice = choose(
+        choice = choose_target(
             [],
             data_centre="dc-1",
             prefer=Preference.ANY,
@@ -135,7 +135,7 @@
                     candidate(n, flows=20, sent_since=sent[f"maps-{n}"])
                     for n in range(2, 8)
                 ]
-                chosen = choose(
+                chosen = choose_target(
                     loads,
                     data_centre="dc-1",
                     prefer=Preference.ANY,
--- a/tests/balancer/test_store_link.py
+++ b/tests/balancer/test_store_link.py
@@ -20,7 +20,7 @@
 from monsoonpier.model.evacuation import Evacuation
 from monsoonpier.store.interface import LeaseNotFoundError, Put, StoreError
 from monsoonpier.store.keys import BALANCERS, CONFIGURATION, CONFIGURATION_COPY
-from monsoonpier.wire.frames import BalancerRecord, Found, FrameCodec
+from monsoonpier.wire.frames import BalancerRecord, DirectoryReply, FrameCodec
 from standins.fake_store import FakeStore
 from tests.rig import KEYS, balancer
 
@@ -121,7 +121,7 @@
             "b3": b"\xff\x00",
             "b4": b"",
             "b5": codec.encode(mine),  # under a key that isn't its own
-            "b6": codec.encode(Found(flow=b"f", holder="b6")),
+            "b6": codec.encode(DirectoryReply(flow=b"f", holder="b6")),
         }
         puts = tuple(
             Put(key=BALANCERS + name, value=value, lease=0)
--- a/tests/caller/test_caller.py
+++ b/tests/caller/test_caller.py
@@ -17,9 +17,9 @@
 from monsoonpier.wire.datagrams import (
     AnswerPart,
     Close,
-    FlowGone,
+    FlowUnknown,
+    GoAway,
     Item,
-    Move,
     Opened,
     Progress,
     RequestPart,
@@ -152,7 +152,7 @@
         flow = session()
         flow.request("reading", b"x", deadline=1.0, now=0.1)
         flow.open_stream("map", after=4, now=0.1)
-        events = receive(flow, FlowGone(flow=FLOW))
+        events = receive(flow, FlowUnknown(flow=FLOW))
         self.assertIsInstance(events[0].outcome, FlowLost)
         self.assertEqual(
             events[1], StreamEnded(request=2, reason="flow lost", reopen=True)
@@ -183,8 +183,8 @@
     def test_go_away_is_reported_once(self):
         """A repeated GOAWAY causes one event, and the flow takes no new work."""
         flow = session()
-        self.assertEqual(receive(flow, Move(flow=FLOW)), [GoAwayReceived()])
-        self.assertEqual(receive(flow, Move(flow=FLOW)), [])
+        self.assertEqual(receive(flow, GoAway(flow=FLOW)), [GoAwayReceived()])
+        self.assertEqual(receive(flow, GoAway(flow=FLOW)), [])
         self.assertFalse(flow.takes_work)
 
     def test_go_away_right_after_opened(self):
--- a/tests/packets/rig.py
+++ b/tests/packets/rig.py
@@ -14,7 +14,7 @@
 from monsoonpier.model.target import Condition, LoadReport, TargetRecord
 from monsoonpier.platform.packets import PlatformPackets
 from monsoonpier.process.logs import DecisionLog
-from monsoonpier.wire.frames import BalancerRecord, Carry, PassOn
+from monsoonpier.wire.frames import BalancerRecord, ForwardPacket, RelayPacket
 from monsoonpier.wire.packet import Packet
 
 LOG = DecisionLog("tests")
@@ -135,7 +135,7 @@
         entry = self.membership.table.candidates_of("maps", now=now)
         number = max((c.load.number for c in entry if c.record.name == name), default=0)
         fields = {"number": number + 1, "condition": Condition.SERVING} | load
-        self.membership.table.heard(name, LoadReport(**fields), now=now)
+        self.membership.table.record_load(name, LoadReport(**fields), now=now)
 
     @property
     def known_endpoints(self) -> set[tuple[str, int]]:
@@ -146,7 +146,7 @@
         """Return the agents that get a packet, directly or relayed."""
         found = {action.endpoint for action in actions}
         for action in actions:
-            if isinstance(action.frame, PassOn):
+            if isinstance(action.frame, RelayPacket):
                 found |= set(action.frame.endpoints)
         return found
 
@@ -201,9 +201,9 @@
 
 def carry(
     sent: Packet, *, service: str = "maps", tried=("maps-1",), asks: bool = False
-) -> Carry:
+) -> ForwardPacket:
     """Return the frame in which a balancer forwards a packet."""
-    return Carry(
+    return ForwardPacket(
         service=service, payload=sent.raw, tried=tried if sent.is_syn else (), asks=asks
     )
 
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -12,7 +12,7 @@
     ReturningCallers,
 )
 from monsoonpier.model.target import Condition
-from monsoonpier.wire.frames import Carry, Queued, Turned
+from monsoonpier.wire.frames import ForwardPacket, SynQueued, SynRejected
 from standins.packets.simulation import Simulation, World
 from tests.packets.rig import (
     BALANCER,
@@ -31,8 +31,8 @@
 SLOTS = 2
 
 
-def syn_frame(sent, *, in_time_ms: int = 1_000, wait_ms: int = 1_000) -> Carry:
-    return Carry(
+def syn_frame(sent, *, in_time_ms: int = 1_000, wait_ms: int = 1_000) -> ForwardPacket:
+    return ForwardPacket(
         service="maps",
         payload=sent.raw,
         tried=("maps-1",),
@@ -51,7 +51,10 @@
             self.holder.from_target(answer(number, syn=True), now=1.0)
             sent = packet(number, size=10)
             self.holder.from_balancer(
-                Carry(service="maps", payload=sent.raw), sent, sender=BALANCER, now=1.0
+                ForwardPacket(service="maps", payload=sent.raw),
+                sent,
+                sender=BALANCER,
+                now=1.0,
             )
 
     def bring(self, number: int, *, now: float, sender=BALANCER, **times) -> list:
@@ -73,8 +76,8 @@
     def test_delivered_when_a_slot_comes_free(self) -> None:
         """A queued SYN's balancer is notified, and the next free slot is for it."""
         queued = self.bring(3, now=1.01)
-        self.assertEqual(len(frames(queued, Queued)), 1)
-        self.assertEqual(frames(queued, Queued)[0].load.queued, 1)
+        self.assertEqual(len(frames(queued, SynQueued)), 1)
+        self.assertEqual(frames(queued, SynQueued)[0].load.queued, 1)
         self.assertEqual(self.delivered(self.finish(1, now=1.05)), [packet(3).flow])
 
     def test_evacuated(self) -> None:
@@ -85,12 +88,12 @@
             self.holder.expire(now=1.02),
             self.bring(4, now=1.03, sender=OTHER_BALANCER),
         ):
-            (turned,) = frames(actions, Turned)
+            (turned,) = frames(actions, SynRejected)
             self.assertEqual(turned.reason, "data centre evacuated")
             # The load informs a balancer that hasn't received the order.
             self.assertIs(turned.load.condition, Condition.SHEDDING)
         sent = packet(1, size=10, sequence=2_000)
-        carried = Carry(service="maps", payload=sent.raw)
+        carried = ForwardPacket(service="maps", payload=sent.raw)
         kept = self.holder.from_balancer(carried, sent, sender=BALANCER, now=1.04)
         self.assertEqual([action.raw for action in kept], [sent.raw])
 
@@ -114,16 +117,16 @@
         self.bring(3, now=1.01, in_time_ms=0)
         self.bring(4, now=1.01)
         actions = self.bring(5, now=1.02, sender=OTHER_BALANCER)
-        (turned,) = frames(actions, Turned)
+        (turned,) = frames(actions, SynRejected)
         self.assertEqual(turned.payload, packet(3, syn=True).raw)
-        self.assertEqual(len(frames(actions, Queued)), 1)
+        self.assertEqual(len(frames(actions, SynQueued)), 1)
 
     def test_full_of_equals(self) -> None:
         """A SYN that finds the queue full of equals is rejected with the load."""
         self.bring(3, now=1.01)
         self.bring(4, now=1.02)
         actions = self.bring(5, now=1.03)
-        (turned,) = frames(actions, Turned)
+        (turned,) = frames(actions, SynRejected)
         self.assertEqual(turned.payload, packet(5, syn=True).raw)
         self.assertEqual(turned.load.queued, 2)
 
@@ -131,9 +134,9 @@
         """A retransmission takes no second place, and its balancer is notified."""
         self.bring(3, now=1.01)
         actions = self.bring(3, now=1.21)
-        self.assertEqual(len(frames(actions, Queued)), 1)
+        self.assertEqual(len(frames(actions, SynQueued)), 1)
         another = self.bring(4, now=1.22)
-        self.assertEqual(frames(another, Turned), [])
+        self.assertEqual(frames(another, SynRejected), [])
         self.finish(2, now=1.25)
         self.finish(1, now=1.3)
         self.assertEqual(self.delivered(self.finish(2, now=1.31)), [])
@@ -142,7 +145,7 @@
         """A SYN for which no slot came free is rejected when its wait is over."""
         self.bring(3, now=1.01, wait_ms=300)
         self.assertEqual(self.holder.tick(now=1.2), [])
-        (turned,) = frames(self.holder.tick(now=1.32), Turned)
+        (turned,) = frames(self.holder.tick(now=1.32), SynRejected)
         self.assertEqual(turned.reason, "no slot came free")
 
     def test_leaving_target(self) -> None:
@@ -151,11 +154,11 @@
         self.holder.condition = Condition.LEAVING
         actions = self.finish(1, now=1.05)
         self.assertEqual(self.delivered(actions), [])
-        self.assertEqual([t.reason for t in frames(actions, Turned)], ["leaving"])
+        self.assertEqual([t.reason for t in frames(actions, SynRejected)], ["leaving"])
 
     def test_syn_without_wait(self) -> None:
         """A SYN without a time to wait is not queued."""
-        self.assertEqual(len(frames(self.bring(3, now=1.0, wait_ms=0), Turned)), 1)
+        self.assertEqual(len(frames(self.bring(3, now=1.0, wait_ms=0), SynRejected)), 1)
 
 
 class QueuedAtAnAgentTests(unittest.TestCase):
@@ -165,7 +168,7 @@
         self.rig = SteeringRig(targets=2)
         (self.first,) = self.rig.names(self.rig.caller(packet(syn=True)))
         (self.other,) = {"maps-1", "maps-2"} - {self.first}
-        frame = Queued(flow=packet().flow, agent=self.first, load=load(number=9))
+        frame = SynQueued(flow=packet().flow, agent=self.first, load=load(number=9))
         self.rig.agent(frame)
 
     def retry(self, *, now: float) -> list[str]:
@@ -186,7 +189,7 @@
     def test_rejected(self) -> None:
         """A SYN that the agent rejects goes to another target at once."""
         sent = packet(syn=True)
-        frame = Turned(
+        frame = SynRejected(
             agent=self.first,
             payload=sent.raw,
             tried=(self.first,),
@@ -284,7 +287,7 @@
             made.from_target(answer(number, syn=True), now=now)
             now += handshake
             sent = packet(number, size=10)
-            carried = Carry(service="maps", payload=sent.raw)
+            carried = ForwardPacket(service="maps", payload=sent.raw)
             made.from_balancer(carried, sent, sender=BALANCER, now=now)
             if number == 1:
                 now += run
--- a/tests/packets/test_caller_waits.py
+++ b/tests/packets/test_caller_waits.py
@@ -14,7 +14,7 @@
 from monsoonpier.model.service import Configuration, PacketRoute
 from monsoonpier.model.waiting_summary import WaitingSummary
 from monsoonpier.process.exposition import expose
-from monsoonpier.wire.frames import Held
+from monsoonpier.wire.frames import FlowOwned
 from tests.packets.rig import CONVERGED, SERVICE, SteeringRig, load, packet, replace
 
 AIM_SECONDS = 0.2
@@ -61,7 +61,7 @@
         self.rig.report("maps-1", now=CONVERGED + 0.4, in_flight=0)
         self.rig.steering.retry(now=CONVERGED + 0.4, draw=self.rig.draw)
         for is_open in (False, False, True):
-            held = Held(
+            held = FlowOwned(
                 flow=packet(3).flow, agent="maps-1", load=load(9), is_open=is_open
             )
             self.rig.agent(held, now=CONVERGED + 0.45)
--- a/tests/packets/test_cold.py
+++ b/tests/packets/test_cold.py
@@ -8,7 +8,7 @@
 from monsoonpier.agent.packets.cold import ColdStartLimit
 from monsoonpier.model.service import Configuration
 from monsoonpier.platform.configuration import PLATFORM_FORMAT
-from monsoonpier.wire.frames import Announce, Carry, Turned
+from monsoonpier.wire.frames import Announce, ForwardPacket, SynRejected
 from tests.packets.rig import (
     BALANCER,
     OTHER_BALANCER,
@@ -37,7 +37,7 @@
     def bring(self, *, now: float, wait_ms: int = 0) -> list:
         self.number += 1
         sent = packet(self.number, syn=True)
-        frame = Carry(service="maps", payload=sent.raw, wait_ms=wait_ms)
+        frame = ForwardPacket(service="maps", payload=sent.raw, wait_ms=wait_ms)
         sender = (BALANCER, OTHER_BALANCER)[self.number % 2]
         actions = self.holder.from_balancer(frame, sent, sender=sender, now=now)
         self.note(actions, now=now)
@@ -77,7 +77,7 @@
         """A rejected SYN's load report keeps the balancer from sending more."""
         for _ in range(10):
             self.bring(now=1.0)
-        (turned,) = frames(self.bring(now=1.1), Turned)
+        (turned,) = frames(self.bring(now=1.1), SynRejected)
         rig = SteeringRig(targets=1)
         rig.membership.table.learn(record("maps-1", host=1, slots=100), now=1.0)
         self.assertGreater(turned.load.in_flight, 100)
@@ -100,7 +100,7 @@
         for _ in range(9):
             self.bring(now=1.0)
         sent = packet(1, size=10)
-        carried = Carry(service="maps", payload=sent.raw)
+        carried = ForwardPacket(service="maps", payload=sent.raw)
         actions = self.holder.from_balancer(carried, sent, sender=BALANCER, now=1.1)
         self.assertIn(sent.raw, [getattr(action, "raw", b"") for action in actions])
 
--- a/tests/packets/test_directory.py
+++ b/tests/packets/test_directory.py
@@ -5,7 +5,14 @@
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.packets.directory import MAX_OWNERS, OwnerDirectory
 from monsoonpier.model.target import Condition
-from monsoonpier.wire.frames import BalancerRecord, Carry, Find, Held, NotHeld, Register
+from monsoonpier.wire.frames import (
+    BalancerRecord,
+    DirectoryQuery,
+    DirectoryUpdate,
+    FlowNotOwned,
+    FlowOwned,
+    ForwardPacket,
+)
 from tests.packets.rig import CONVERGED, SteeringRig, load, packet, record as target
 
 
@@ -50,7 +57,7 @@
         """Open a flow at ``maps-2`` through one balancer, and register it."""
         rig = self.rigs[endpoint]
         flow = packet(number).flow
-        held = Held(flow=flow, agent="maps-2", load=load(), is_open=True)
+        held = FlowOwned(flow=flow, agent="maps-2", load=load(), is_open=True)
         rig.agent(held, now=now)
         self.run(endpoint, rig.steering.retry(now=now + 1, draw=rig.draw), now=now + 1)
 
@@ -100,13 +107,17 @@
             rig = self.group.rigs[endpoint]
             sent = [packet(1, size=10, sequence=1_000 + n) for n in range(3)]
             questions = rig.caller(sent[0], now=200.0)
-            if not any(isinstance(action.frame, Find) for action in questions):
+            if not any(
+                isinstance(action.frame, DirectoryQuery) for action in questions
+            ):
                 continue
             for later in sent[1:]:
                 self.assertEqual(rig.caller(later, now=200.01), [])
             self.group.cut_off = set()
             actions = self.group.run(endpoint, questions, now=200.02)
-            payloads = [a.frame.payload for a in actions if isinstance(a.frame, Carry)]
+            payloads = [
+                a.frame.payload for a in actions if isinstance(a.frame, ForwardPacket)
+            ]
             self.assertEqual(payloads, [s.raw for s in sent])
             return
         self.fail("all balancers are directory balancers of the flow")
@@ -117,7 +128,7 @@
         rig = self.group.rigs[self.others[0]]
         sent = packet(1, size=10)
         self.carried(self.others[0], sent, now=200.0)
-        denial = NotHeld(agent="maps-2", flow=sent.flow, payload=sent.raw)
+        denial = FlowNotOwned(agent="maps-2", flow=sent.flow, payload=sent.raw)
         self.assertEqual(
             rig.names(rig.agent(denial, sent, now=200.1)), ["maps-1", "maps-3"]
         )
@@ -135,11 +146,13 @@
         """A flow that its caller has closed is not registered."""
         rig = self.group.rigs[self.first]
         flow = packet(1).flow
-        held = Held(flow=flow, agent="maps-2", load=load(), is_open=True)
+        held = FlowOwned(flow=flow, agent="maps-2", load=load(), is_open=True)
         rig.agent(held, now=CONVERGED)
         rig.caller(packet(1, fin=True), now=CONVERGED + 0.1)
         actions = rig.steering.retry(now=CONVERGED + 1, draw=rig.draw)
-        found = [a for a in actions if isinstance(getattr(a, "frame", None), Register)]
+        found = [
+            a for a in actions if isinstance(getattr(a, "frame", None), DirectoryUpdate)
+        ]
         self.assertEqual(found, [])
 
     def test_bounded(self) -> None:
@@ -148,6 +161,6 @@
         directory = OwnerDirectory(membership=rig.membership)
         for number in range(MAX_OWNERS + 10):
             entry = (number.to_bytes(12, "big"), "maps-1")
-            directory.store(Register(entries=(entry,)))
+            directory.store(DirectoryUpdate(entries=(entry,)))
         self.assertEqual(len(directory), MAX_OWNERS)
         self.assertIsNone(directory.get((0).to_bytes(12, "big")))
--- a/tests/packets/test_first_asked.py
+++ b/tests/packets/test_first_asked.py
@@ -9,14 +9,20 @@
     EarlierAttempt,
     ReturningCallers,
 )
-from monsoonpier.wire.frames import Carry, FirstAsked, Refused, Turned, WhenAsked
+from monsoonpier.wire.frames import (
+    AttemptRejected,
+    FirstAttemptQuery,
+    FirstAttemptReply,
+    ForwardPacket,
+    SynRejected,
+)
 from standins.packets.simulation import Simulation, World
 from tests.packets.rig import CONVERGED, SERVICE, load, packet, replace, resets
 from tests.packets.test_directory import _Group
 
 FULL = {"in_flight": 2, "queued": 1}
 BACK = CONVERGED + 1.32
-ANSWER = FirstAsked(flow=packet(1).flow, asked_ms=2_500)
+ANSWER = FirstAttemptReply(flow=packet(1).flow, asked_ms=2_500)
 
 
 def syn(number: int, *, caller: int = 7):
@@ -75,11 +81,11 @@
     def test_asked_once_a_flow_that_waits(self) -> None:
         """The first attempt is queried once, and only for queued flows."""
         (placed,) = self.group.rigs[self.next].caller(syn(9))
-        self.assertIsInstance(placed.frame, Carry)
+        self.assertIsInstance(placed.frame, ForwardPacket)
         self.take(self.first, 1, now=CONVERGED)
         self.rig.report("maps-1", now=CONVERGED, in_flight=2)
         (placed,) = self.retry(self.first, now=CONVERGED + 0.01)
-        turned = Turned(
+        turned = SynRejected(
             agent="maps-1",
             payload=syn(1).raw,
             tried=(),
@@ -104,9 +110,9 @@
         balancer = times(next(iter(_Group(1).rigs.values())))
         caller = {"caller": "100.64.0.7", "service": (SERVICE.ip, SERVICE.port)}
         for asked_ms, back_ms in refusals:
-            frame = Refused(asked_ms=asked_ms, back_ms=back_ms, **caller)
+            frame = AttemptRejected(asked_ms=asked_ms, back_ms=back_ms, **caller)
             balancer.store_rejection(frame, now=5.0)
-        question = WhenAsked(flow=syn(2).flow, **caller)
+        question = FirstAttemptQuery(flow=syn(2).flow, **caller)
         sender = ("10.1.0.2", 7720)
         return [
             reply.frame.asked_ms
--- a/tests/packets/test_holder.py
+++ b/tests/packets/test_holder.py
@@ -9,7 +9,15 @@
 )
 from monsoonpier.agent.packets.holder import PacketFlowOwner
 from monsoonpier.model.target import ABSENT_SECONDS, Condition
-from monsoonpier.wire.frames import Held, Holds, Load, NotHeld, PassOn, Turned, Whose
+from monsoonpier.wire.frames import (
+    FlowNotOwned,
+    FlowOwned,
+    LoadUpdate,
+    OwnershipQuery,
+    OwnershipReply,
+    RelayPacket,
+    SynRejected,
+)
 from tests.packets.rig import (
     BALANCER,
     LOG,
@@ -61,9 +69,9 @@
         self.assertEqual(kinds(self.bring(packet(syn=True))), [ToTarget])
         actions = self.holder.from_target(answer(syn=True), now=1.0)
         self.assertIn(ToCallerPacket, kinds(actions))
-        self.assertEqual([f.is_open for f in frames(actions, Held)], [False])
+        self.assertEqual([f.is_open for f in frames(actions, FlowOwned)], [False])
         actions = self.bring(packet(size=10))
-        self.assertEqual([f.is_open for f in frames(actions, Held)], [True])
+        self.assertEqual([f.is_open for f in frames(actions, FlowOwned)], [True])
         self.assertEqual(delivered(actions), 1)
 
     def test_opened_at_another_target(self) -> None:
@@ -74,7 +82,7 @@
             other = TARGET_SEQUENCE + distance
             actions = self.bring(packet(size=10, acknowledged=other))
             self.assertEqual(delivered(actions), 0)
-            self.assertEqual(len(frames(actions, NotHeld)), 1)
+            self.assertEqual(len(frames(actions, FlowNotOwned)), 1)
 
     def test_packet_before_the_target_has_answered(self) -> None:
         """A flow opened elsewhere is not owned while its SYN is pending."""
@@ -85,7 +93,7 @@
         """A SYN for a leaving target is rejected with a reason."""
         self.holder.condition = Condition.LEAVING
         actions = self.bring(packet(syn=True))
-        self.assertEqual([f.reason for f in frames(actions, Turned)], ["leaving"])
+        self.assertEqual([f.reason for f in frames(actions, SynRejected)], ["leaving"])
         self.assertEqual(delivered(actions), 0)
 
     def test_leaving_target_keeps_its_flows(self) -> None:
@@ -98,13 +106,13 @@
         """A SYN of another service, from a stale table, is never delivered."""
         actions = self.bring(packet(syn=True), service="logs")
         self.assertEqual(delivered(actions), 0)
-        self.assertEqual(len(frames(actions, Turned)), 1)
+        self.assertEqual(len(frames(actions, SynRejected)), 1)
 
     def test_target_returns_syn(self) -> None:
         """A SYN that the target returns is rejected to the balancer."""
         self.bring(packet(syn=True))
         actions = self.holder.from_target(packet(syn=True, returned=True), now=1.0)
-        self.assertEqual(len(frames(actions, Turned)), 1)
+        self.assertEqual(len(frames(actions, SynRejected)), 1)
         self.assertEqual(self.holder.flows, 0)
 
     def test_full_target_gets_one_more(self) -> None:
@@ -113,11 +121,11 @@
             self.open(number)
             self.bring(packet(number, size=10))
         first = self.bring(packet(3, syn=True))
-        self.assertEqual(len(frames(first, Turned)), 1)
+        self.assertEqual(len(frames(first, SynRejected)), 1)
         tried = ("a", "b", "c")
         self.assertEqual(delivered(self.bring(packet(3, syn=True), tried=tried)), 1)
         again = self.bring(packet(4, syn=True), tried=tried)
-        self.assertEqual(len(frames(again, Turned)), 1)
+        self.assertEqual(len(frames(again, SynRejected)), 1)
 
 
 class HoldingTests(HolderCase):
@@ -134,17 +142,17 @@
         self.open()
         actions = self.bring(packet(size=10), sender=OTHER_BALANCER, asks=True)
         self.assertEqual(delivered(actions), 1)
-        self.assertEqual([f.is_open for f in frames(actions, Held)], [True])
-        self.assertEqual(frames(self.bring(packet(size=10)), Held), [])
+        self.assertEqual([f.is_open for f in frames(actions, FlowOwned)], [True])
+        self.assertEqual(frames(self.bring(packet(size=10)), FlowOwned), [])
 
     def test_unknown_flow_is_not_owned(self) -> None:
         """An agent that knows all flows of its target reports others as not owned."""
         actions = self.bring(packet(size=10))
-        self.assertEqual(len(frames(actions, NotHeld)), 1)
+        self.assertEqual(len(frames(actions, FlowNotOwned)), 1)
         self.assertEqual(delivered(actions), 0)
-        self.assertTrue(frames(actions, NotHeld)[0].payload)
+        self.assertTrue(frames(actions, FlowNotOwned)[0].payload)
         asked = self.bring(packet(size=10), asks=True)
-        self.assertEqual(frames(asked, NotHeld)[0].payload, b"")
+        self.assertEqual(frames(asked, FlowNotOwned)[0].payload, b"")
 
     def test_end_of_a_target_that_only_answered_a_syn(self) -> None:
         """A flow that may have opened at another target is not reset."""
@@ -159,7 +167,7 @@
         self.assertEqual(kinds(actions), [ResetFlow])
         self.assertEqual(actions[0].acknowledged, TARGET_SEQUENCE + 1)
         denied = self.bring(packet(size=10))
-        self.assertEqual(len(frames(denied, NotHeld)), 1)
+        self.assertEqual(len(frames(denied, FlowNotOwned)), 1)
 
 
 class RestartedAgentTests(HolderCase):
@@ -172,7 +180,7 @@
         """A flow that the target answers on is owned."""
         self.assertEqual(delivered(self.bring(packet(size=10))), 1)
         actions = self.holder.from_target(answer(size=10), now=1.1)
-        self.assertEqual([f.is_open for f in frames(actions, Held)], [True])
+        self.assertEqual([f.is_open for f in frames(actions, FlowOwned)], [True])
 
     def test_target_returns_probe(self) -> None:
         """A probe that the target returns is reported to its sender as not owned."""
@@ -181,14 +189,14 @@
         back = packet(size=10, returned=True)
         actions = self.holder.from_target(back, now=1.1)
         self.assertEqual([a.endpoint for a in actions], [OTHER_BALANCER])
-        self.assertEqual(len(frames(actions, NotHeld)), 1)
+        self.assertEqual(len(frames(actions, FlowNotOwned)), 1)
 
     def test_target_resets_a_flow_of_another(self) -> None:
         """A reset for a flow that another target may own is not forwarded."""
         self.bring(packet(size=10))
         actions = self.holder.from_target(answer(reset=True), now=1.1)
         self.assertNotIn(ToCallerPacket, kinds(actions))
-        self.assertEqual(len(frames(actions, NotHeld)), 1)
+        self.assertEqual(len(frames(actions, FlowNotOwned)), 1)
 
     def test_another_service_is_not_probed(self) -> None:
         """A packet of another service is not probed."""
@@ -204,7 +212,7 @@
     def test_relay(self) -> None:
         """Other agents get the packet and the balancer to reply to."""
         others = (("10.2.0.2", 7720), ("10.2.0.3", 7720))
-        frame = PassOn(service="maps", payload=packet().raw, endpoints=others)
+        frame = RelayPacket(service="maps", payload=packet().raw, endpoints=others)
         actions = self.holder.relay(frame, balancer=BALANCER)
         self.assertEqual(tuple(a.endpoint for a in actions), others)
         self.assertEqual({a.frame.reply_to for a in actions}, {BALANCER})
@@ -215,36 +223,38 @@
         self.holder.from_target(answer(7, size=10), now=1.0)
         flows = (packet(7).flow, packet(8).flow)
         said = self.holder.answer(
-            Whose(question=4, service="maps", flows=flows), now=1.0
+            OwnershipQuery(question=4, service="maps", flows=flows), now=1.0
         )
         self.assertEqual((said.question, said.held), (4, flows[:1]))
         self.assertFalse(said.is_sure)
         other = self.holder.answer(
-            Whose(question=5, service="logs", flows=flows), now=1.0
+            OwnershipQuery(question=5, service="logs", flows=flows), now=1.0
         )
         self.assertTrue(other.is_sure)
-        sure = holder().answer(Whose(question=6, service="maps", flows=flows), now=1.0)
+        sure = holder().answer(
+            OwnershipQuery(question=6, service="maps", flows=flows), now=1.0
+        )
         self.assertEqual((sure.held, sure.is_sure), ((), True))
 
     def test_query_before_first_heartbeat(self) -> None:
         """A query waits for the target's first heartbeat, but not for long."""
-        question = Whose(question=8, service="maps", flows=(packet().flow,))
+        question = OwnershipQuery(question=8, service="maps", flows=(packet().flow,))
         made = PacketFlowOwner(
             name="m", service="maps", slots=2, connections=9, log=LOG
         )
         self.assertEqual(made.ask(question, sender=BALANCER, now=1.0), [])
         self.assertEqual(made.answer_pending(now=1.2), [])
         late = made.answer_pending(now=1.3)
-        self.assertEqual(frames(late, Holds)[0].run_ms, None)
+        self.assertEqual(frames(late, OwnershipReply)[0].run_ms, None)
         self.assertEqual(made.ask(question, sender=BALANCER, now=1.4), [])
         made.instance_started(b"i-1", is_first=False, is_young=True, now=1.5)
         soon = made.answer_pending(now=1.5)
-        self.assertEqual(frames(soon, Holds)[0].run_ms, 0)
+        self.assertEqual(frames(soon, OwnershipReply)[0].run_ms, 0)
         self.assertEqual(made.answer_pending(now=9.0), [])
 
     def test_age_of_instance(self) -> None:
         """An instance that had just started when first seen has a known age."""
-        question = Whose(question=7, service="maps", flows=(packet().flow,))
+        question = OwnershipQuery(question=7, service="maps", flows=(packet().flow,))
         self.assertIsNone(self.holder.answer(question, now=3.0).run_ms)
         young = holder(is_first=False)
         young.instance_started(b"i-9", is_first=False, now=2.0)
@@ -263,7 +273,7 @@
         self.holder = made
         self.bring(packet(syn=True))
         flows = (packet().flow,)
-        question = Whose(question=1, service="maps", flows=flows)
+        question = OwnershipQuery(question=1, service="maps", flows=flows)
         self.assertEqual(made.answer(question, now=1.0).held, ())
         made.from_target(answer(syn=True), now=1.0)
         self.assertEqual(made.answer(question, now=1.0).held, flows)
@@ -278,8 +288,8 @@
         )
         self.holder.note_no_listener(now=1.0)
 
-    def answer(self, *, now: float) -> Holds:
-        question = Whose(question=1, service="maps", flows=(packet().flow,))
+    def answer(self, *, now: float) -> OwnershipReply:
+        question = OwnershipQuery(question=1, service="maps", flows=(packet().flow,))
         return self.holder.answer(question, now=now)
 
     def test_reports_absence(self) -> None:
@@ -292,9 +302,9 @@
         """After `ABSENT_SECONDS` a target that was leaving has certainly ended."""
         self.holder.note_no_listener(now=1.0 + ABSENT_SECONDS)
         self.assertTrue(self.answer(now=1.0 + ABSENT_SECONDS).is_sure)
-        question = Whose(question=1, service="maps", flows=(packet().flow,))
+        question = OwnershipQuery(question=1, service="maps", flows=(packet().flow,))
         answered = self.holder.ask(question, sender=BALANCER, now=9.0)
-        self.assertEqual(len(frames(answered, Holds)), 1)
+        self.assertEqual(len(frames(answered, OwnershipReply)), 1)
 
     def test_target_that_appears(self) -> None:
         """A target that sends a heartbeat after all may be older than its agent."""
@@ -383,7 +393,7 @@
         self.bring(packet(syn=True, number=2), sender=OTHER_BALANCER)
         news = self.holder.load_reports(now=1.1)
         self.assertEqual({n.endpoint for n in news}, {BALANCER, OTHER_BALANCER})
-        self.assertEqual([f.load.in_flight for f in frames(news, Load)], [2, 2])
+        self.assertEqual([f.load.in_flight for f in frames(news, LoadUpdate)], [2, 2])
         self.assertEqual(self.holder.load_reports(now=1.2), [])
 
     def test_counts_return_to_zero(self) -> None:
--- a/tests/packets/test_reservations.py
+++ b/tests/packets/test_reservations.py
@@ -19,7 +19,13 @@
     WaitingFlow,
     WaitingQueue,
 )
-from monsoonpier.wire.frames import Carry, Decline, Offer, Reserve, Turned
+from monsoonpier.wire.frames import (
+    DeclineSlot,
+    ForwardPacket,
+    OfferSlot,
+    ReserveSlot,
+    SynRejected,
+)
 from standins.packets.simulation import Simulation, World
 from tests.packets.rig import (
     BALANCER,
@@ -40,8 +46,8 @@
 
 def reserve(
     number: int, *, in_time_ms: int = 500, wait_ms: int = 1_300, priority: int = 1
-) -> Reserve:
-    return Reserve(
+) -> ReserveSlot:
+    return ReserveSlot(
         service="maps",
         flow=packet(number).flow,
         in_time_ms=in_time_ms,
@@ -183,12 +189,15 @@
         self.holder.from_target(answer(number, syn=True), now=now)
         sent = packet(number, size=10)
         self.holder.from_balancer(
-            Carry(service="maps", payload=sent.raw), sent, sender=BALANCER, now=now
+            ForwardPacket(service="maps", payload=sent.raw),
+            sent,
+            sender=BALANCER,
+            now=now,
         )
 
     def bring(self, number: int, *, now: float, is_offered: bool = True) -> list:
         sent = packet(number, syn=True)
-        frame = Carry(
+        frame = ForwardPacket(
             service="maps",
             payload=sent.raw,
             tried=("maps-1",),
@@ -203,17 +212,17 @@
 
     def test_next_request_comes_during_the_run(self) -> None:
         """The next flow opens while the slot is in use, so the slot is never empty."""
-        self.assertEqual(len(frames(self.reserve(2), Offer)), 1)
+        self.assertEqual(len(frames(self.reserve(2), OfferSlot)), 1)
         actions = self.bring(2, now=1.004)
         self.assertEqual([a.raw for a in actions], [packet(2, syn=True).raw])
 
     def test_no_more_than_one_ahead(self) -> None:
         """A flow that would wait longer than one request is not sent ahead."""
         self.reserve(2)
-        self.assertEqual(frames(self.reserve(3), Offer), [])
+        self.assertEqual(frames(self.reserve(3), OfferSlot), [])
         self.bring(2, now=1.004)
         done = self.holder.from_target(answer(1, size=50), now=1.02)
-        self.assertEqual(len(frames(done, Offer)), 1)
+        self.assertEqual(len(frames(done, OfferSlot)), 1)
 
     def test_decline_goes_on_to_another(self) -> None:
         """A declined slot is offered to the next balancer at once."""
@@ -226,7 +235,7 @@
         """A flow sent without an offer doesn't overtake reservations."""
         self.reserve(2)
         self.assertEqual(
-            len(frames(self.bring(3, now=1.001, is_offered=False), Turned)), 1
+            len(frames(self.bring(3, now=1.001, is_offered=False), SynRejected)), 1
         )
         self.assertGreater(self.holder.load(now=1.001).in_flight, 1)
 
@@ -234,9 +243,9 @@
         """A leaving target drops its reservations and offers no slot."""
         self.reserve(2)
         self.holder.condition = Condition.LEAVING
-        self.assertEqual(frames(self.holder.expire(now=1.1), Offer), [])
-        self.assertEqual(frames(self.reserve(3, now=1.1), Offer), [])
-        refused = frames(self.bring(2, now=1.1), Turned)
+        self.assertEqual(frames(self.holder.expire(now=1.1), OfferSlot), [])
+        self.assertEqual(frames(self.reserve(3, now=1.1), OfferSlot), [])
+        refused = frames(self.bring(2, now=1.1), SynRejected)
         self.assertEqual([frame.reason for frame in refused], ["leaving"])
 
     def test_connection_limit(self) -> None:
@@ -244,14 +253,14 @@
         for number in range(10, 109):
             self.holder.from_target(answer(number, size=5), now=1.0)
         self.assertGreaterEqual(self.holder.flows, 100)
-        self.assertEqual(frames(self.reserve(2), Offer), [])
+        self.assertEqual(frames(self.reserve(2), OfferSlot), [])
 
     def test_cold_limit(self) -> None:
         """A cold target offers no more slots than its limit per second."""
         self.holder = holder(slots=4)
         cold = self.holder.target_load.cold
         cold.per_second, cold.until = 2.0, 5.0
-        offers = [frames(self.reserve(number), Offer) for number in range(4)]
+        offers = [frames(self.reserve(number), OfferSlot) for number in range(4)]
         self.assertEqual([len(found) for found in offers], [1, 1, 0, 0])
 
     def test_offered_slot_is_kept(self) -> None:
@@ -260,7 +269,7 @@
         self.reserve(2)
         self.reserve(3, balancer=OTHER_BALANCER)
         unasked = self.bring(9, now=1.001, is_offered=False)
-        self.assertEqual(len(frames(unasked, Turned)), 1)
+        self.assertEqual(len(frames(unasked, SynRejected)), 1)
 
     def test_offer_that_is_not_answered(self) -> None:
         """An unanswered offer expires, and others get the slot."""
@@ -280,14 +289,14 @@
 
     def offer(self, name: str = "maps-1", *, now: float = CONVERGED, **fields) -> list:
         report = load(number=50, in_flight=3, **fields)
-        return self.rig.agent(Offer(agent=name, load=report), now=now)
+        return self.rig.agent(OfferSlot(agent=name, load=report), now=now)
 
     def test_reserves_at_two_agents(self) -> None:
         """A queued flow reserves at two agents and stays at the balancer."""
         actions = self.rig.caller(packet(syn=True))
-        self.assertEqual(len(frames(actions, Reserve)), RESERVATIONS_PER_FLOW)
+        self.assertEqual(len(frames(actions, ReserveSlot)), RESERVATIONS_PER_FLOW)
         self.assertEqual(len(set(self.rig.names(actions))), RESERVATIONS_PER_FLOW)
-        self.assertEqual(frames(actions, Carry), [])
+        self.assertEqual(frames(actions, ForwardPacket), [])
 
     def test_nothing_without_the_setting(self) -> None:
         """Without the setting no reservation is sent."""
@@ -300,14 +309,16 @@
         self.rig.caller(packet(1, syn=True), now=CONVERGED)
         self.rig.caller(packet(2, syn=True), now=CONVERGED + 0.01)
         actions = self.offer(now=CONVERGED + 0.02)
-        self.assertEqual([f.payload for f in frames(actions, Carry)], [packet(1).raw])
-        self.assertTrue(frames(actions, Carry)[0].is_offered)
+        self.assertEqual(
+            [f.payload for f in frames(actions, ForwardPacket)], [packet(1).raw]
+        )
+        self.assertTrue(frames(actions, ForwardPacket)[0].is_offered)
 
     def test_nothing_left(self) -> None:
         """An offer without a queued flow is declined."""
         self.rig.caller(packet(1, syn=True))
         self.offer()
-        self.assertEqual(len(frames(self.offer("maps-2"), Decline)), 1)
+        self.assertEqual(len(frames(self.offer("maps-2"), DeclineSlot)), 1)
 
     def test_agent_that_ended(self) -> None:
         """A flow that gets no offer reserves at further agents, within bounds."""
@@ -334,7 +345,9 @@
             for name in ("maps-1", "maps-2", "maps-3"):
                 self.rig.report(name, now=now, in_flight=3)
             actions = self.rig.caller(packet(number, syn=True), now=now)
-            in_time_ms += [frame.in_time_ms for frame in frames(actions, Reserve)[:1]]
+            in_time_ms += [
+                frame.in_time_ms for frame in frames(actions, ReserveSlot)[:1]
+            ]
             for name in ("maps-1", "maps-2", "maps-3"):
                 self.rig.report(name, now=now + 1.3, in_flight=3)
             self.rig.steering.retry(now=now + 1.31, draw=self.rig.draw)
@@ -345,7 +358,7 @@
         """An offer from an evacuated data centre isn't accepted."""
         self.rig.caller(packet(1, syn=True))
         self.rig.membership.table.evacuated = frozenset({"dc-1"})
-        self.assertEqual(len(frames(self.offer(), Decline)), 1)
+        self.assertEqual(len(frames(self.offer(), DeclineSlot)), 1)
 
     def test_route_removed(self) -> None:
         """A queued flow whose route is removed is reset."""
@@ -360,9 +373,9 @@
             self.rig.report(f"maps-{number}", now=CONVERGED + 0.3, in_flight=3)
         left = self.rig.steering.retry(now=CONVERGED + 0.31, draw=self.rig.draw)
         self.assertEqual(self.rig.names(left), self.rig.names(begun))
-        self.assertEqual({f.wait_ms for f in frames(left, Reserve)}, {0})
+        self.assertEqual({f.wait_ms for f in frames(left, ReserveSlot)}, {0})
         actions = self.offer(now=CONVERGED + 0.32)
-        self.assertEqual(len(frames(actions, Decline)), 1)
+        self.assertEqual(len(frames(actions, DeclineSlot)), 1)
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=CONVERGED + 0.6, in_flight=3)
         later = self.rig.steering.retry(now=CONVERGED + 0.61, draw=self.rig.draw)
@@ -375,7 +388,7 @@
             self.rig.report(f"maps-{number}", now=101.0, in_flight=3)
         late = self.rig.steering.retry(now=101.31, draw=self.rig.draw)
         self.assertEqual(resets(late), ["no slot came free"])
-        self.assertEqual(len(frames(self.offer(now=101.32), Decline)), 1)
+        self.assertEqual(len(frames(self.offer(now=101.32), DeclineSlot)), 1)
 
 
 class SpeedTests(unittest.TestCase):
--- a/tests/packets/test_shares.py
+++ b/tests/packets/test_shares.py
@@ -10,7 +10,14 @@
 from monsoonpier.documents.route_shares import read_shares
 from monsoonpier.model.service import Configuration, PacketRoute
 from monsoonpier.model.target import Condition
-from monsoonpier.wire.frames import Carry, Held, Holds, NotHeld, PassOn, Whose
+from monsoonpier.wire.frames import (
+    FlowNotOwned,
+    FlowOwned,
+    ForwardPacket,
+    OwnershipQuery,
+    OwnershipReply,
+    RelayPacket,
+)
 from monsoonpier.wire.packet import Packet
 from tests.packets.rig import (
     CONVERGED,
@@ -31,8 +38,8 @@
     )
 
 
-def held(agent: str, sent: Packet) -> Held:
-    return Held(flow=sent.flow, agent=agent, load=load(number=9), is_open=True)
+def held(agent: str, sent: Packet) -> FlowOwned:
+    return FlowOwned(flow=sent.flow, agent=agent, load=load(number=9), is_open=True)
 
 
 def choices(route: PacketRoute, *, without: tuple[str, ...] = ()) -> list[str]:
@@ -115,7 +122,7 @@
         undisturbed, rig = self.rig(), self.rig()
         for number in (3, 4):
             full = load(number=9, in_flight=9, flows=2_000)
-            rig.membership.table.heard(f"logs-{number}", full, now=CONVERGED)
+            rig.membership.table.record_load(f"logs-{number}", full, now=CONVERGED)
         for each in (undisturbed, rig):
             for number in range(40):
                 each.caller(packet(number, syn=True))
@@ -138,7 +145,7 @@
         return {
             (names_by_endpoint[a.endpoint], a.frame.service)
             for a in actions
-            if isinstance(a.frame, Whose)
+            if isinstance(a.frame, OwnershipQuery)
         }
 
     def test_restarted_balancer_asks_all_services(self) -> None:
@@ -152,7 +159,7 @@
             for name in ("maps-1", "maps-2", "logs-3", "logs-4"):
                 self.assertEqual(resets(actions), [])
                 sent = packet(flow)
-                frame = NotHeld(agent=name, flow=sent.flow, payload=sent.raw)
+                frame = FlowNotOwned(agent=name, flow=sent.flow, payload=sent.raw)
                 if name == holder:
                     frame = held(name, sent)
                 actions = rig.agent(frame, sent, now=now)
@@ -169,11 +176,11 @@
         for number, name in itertools.product(
             questions, ("maps-1", "maps-2", "logs-3", "logs-4")
         ):
-            reply = Holds(question=number, agent=name, held=(), is_sure=False)
+            reply = OwnershipReply(question=number, agent=name, held=(), is_sure=False)
             actions += rig.agent(reply)
         actions += rig.steering.retry(now=CONVERGED + 0.02, draw=rig.draw)
         brought = {(a.endpoint[0], a.frame.service) for a in actions}
-        self.assertEqual({type(a.frame) for a in actions}, {Carry, PassOn})
+        self.assertEqual({type(a.frame) for a in actions}, {ForwardPacket, RelayPacket})
         expected = {("10.2.0.1", "maps"), ("10.2.0.2", "maps"), ("10.2.0.3", "logs")}
         self.assertLessEqual(brought, expected | {("10.2.0.4", "logs")})
 
--- a/tests/packets/test_slot_use.py
+++ b/tests/packets/test_slot_use.py
@@ -4,7 +4,7 @@
 
 from monsoonpier.agent.packets.slot_use import LOG_INTERVAL_SECONDS, SlotUse
 from monsoonpier.process.exposition import expose
-from monsoonpier.wire.frames import Carry
+from monsoonpier.wire.frames import ForwardPacket
 from standins.packets.simulation import Simulation, World
 from tests.packets.rig import BALANCER, answer, holder, packet
 
@@ -25,7 +25,9 @@
 
     def bring(self, number: int, *, now: float, **fields) -> None:
         sent = packet(number, **fields)
-        frame = Carry(service="maps", payload=sent.raw, in_time_ms=1_000, wait_ms=1_000)
+        frame = ForwardPacket(
+            service="maps", payload=sent.raw, in_time_ms=1_000, wait_ms=1_000
+        )
         self.holder.from_balancer(frame, sent, sender=BALANCER, now=now)
 
     def open_and_ask(self, number: int, *, now: float) -> None:
--- a/tests/packets/test_steering.py
+++ b/tests/packets/test_steering.py
@@ -11,15 +11,15 @@
 from monsoonpier.model.target import Condition
 from monsoonpier.wire.frames import (
     MAX_FRAME_BYTES,
-    Carry,
+    FlowNotOwned,
+    FlowOwned,
+    ForwardPacket,
     FrameCodec,
-    Held,
-    Holds,
-    Load,
-    NotHeld,
-    PassOn,
-    Turned,
-    Whose,
+    LoadUpdate,
+    OwnershipQuery,
+    OwnershipReply,
+    RelayPacket,
+    SynRejected,
 )
 from tests.packets.rig import (
     CONVERGED,
@@ -35,17 +35,17 @@
 OTHER_ADDRESS = Address(ip="198.18.0.9", port=1)
 
 
-def held(agent: str, sent, *, is_open: bool = True) -> Held:
-    return Held(flow=sent.flow, agent=agent, load=load(number=9), is_open=is_open)
+def held(agent: str, sent, *, is_open: bool = True) -> FlowOwned:
+    return FlowOwned(flow=sent.flow, agent=agent, load=load(number=9), is_open=is_open)
 
 
-def denied(agent: str, sent) -> NotHeld:
-    return NotHeld(agent=agent, flow=sent.flow, payload=sent.raw)
+def denied(agent: str, sent) -> FlowNotOwned:
+    return FlowNotOwned(agent=agent, flow=sent.flow, payload=sent.raw)
 
 
-def turned(agent: str, sent, **fields) -> Turned:
+def turned(agent: str, sent, **fields) -> SynRejected:
     more = {"tried": (agent,), "reason": "busy", "load": load(number=9)} | fields
-    return Turned(agent=agent, payload=sent.raw, **more)
+    return SynRejected(agent=agent, payload=sent.raw, **more)
 
 
 class NewFlowTests(unittest.TestCase):
@@ -77,7 +77,7 @@
             frame = turned(name, packet(syn=True), load=full)
             actions = self.rig.agent(frame, packet(syn=True))
         self.assertEqual(actions, [])
-        freed = Load(load=load(number=10, in_flight=1))
+        freed = LoadUpdate(load=load(number=10, in_flight=1))
         self.assertEqual(self.rig.names(self.rig.agent(freed)), ["maps-2"])
 
     def test_copy_of_a_waiting_syn(self) -> None:
@@ -203,7 +203,7 @@
         self.assertEqual(self.rig.names(self.rig.caller(packet())), ["maps-2"])
 
     def _answers(self, *, held=(), sure: bool = True, name="maps-1", now=CONVERGED):
-        frame = Holds(question=1, agent=name, held=held, is_sure=sure)
+        frame = OwnershipReply(question=1, agent=name, held=held, is_sure=sure)
         return self.rig.agent(frame, now=now)
 
     def test_question_is_answered_for_many_flows(self) -> None:
@@ -212,13 +212,13 @@
         for number in (2, 3):
             self.assertEqual(self.rig.caller(packet(number), now=100.001), [])
         actions = self.rig.steering.retry(now=100.03, draw=self.rig.draw)
-        asked = [a.frame.flows for a in actions if isinstance(a.frame, Whose)]
+        asked = [a.frame.flows for a in actions if isinstance(a.frame, OwnershipQuery)]
         flows = (packet(2).flow, packet(3).flow)
         self.assertEqual(asked, [flows] * 3)
-        held = Holds(question=2, agent="maps-1", held=flows[:1], is_sure=True)
+        held = OwnershipReply(question=2, agent="maps-1", held=flows[:1], is_sure=True)
         self.assertEqual(self.rig.names(self.rig.agent(held)), ["maps-1"])
         for name in ("maps-2", "maps-3"):
-            none = Holds(question=2, agent=name, held=(), is_sure=True)
+            none = OwnershipReply(question=2, agent=name, held=(), is_sure=True)
             actions = self.rig.agent(none)
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
@@ -226,7 +226,7 @@
         """A reply to a query from before a restart is ignored."""
         rig = SteeringRig(targets=1, started_at=50.0)
         rig.caller(packet())
-        old = Holds(question=1, agent="maps-1", held=(), is_sure=True)
+        old = OwnershipReply(question=1, agent="maps-1", held=(), is_sure=True)
         self.assertEqual(rig.agent(old), [])
 
     def test_agent_that_cannot_know(self) -> None:
@@ -254,13 +254,13 @@
         rig.caller(packet(size=10))
         actions: list = []
         for number in range(1, 9):
-            reply = Holds(
+            reply = OwnershipReply(
                 question=1, agent=f"maps-{number}", held=(), is_sure=False, run_ms=None
             )
             actions += rig.agent(reply)
         self.assertEqual(rig.names(actions), ["maps-1", "maps-2"])
         collected = rig.steering.retry(now=100.02, draw=rig.draw)
-        self.assertEqual([type(a.frame) for a in collected], [PassOn])
+        self.assertEqual([type(a.frame) for a in collected], [RelayPacket])
         reached = {collected[0].endpoint, *collected[0].frame.endpoints}
         self.assertEqual(reached, {(f"10.2.0.{n}", 7720) for n in range(3, 9)})
         self.assertEqual(rig.steering.retry(now=100.04, draw=rig.draw), [])
@@ -270,7 +270,7 @@
         rig = SteeringRig(targets=60)
         rig.caller(replace(packet(), raw=bytes(1_231)))
         for number in range(1, 61):
-            reply = Holds(
+            reply = OwnershipReply(
                 question=1, agent=f"maps-{number}", held=(), is_sure=False, run_ms=None
             )
             rig.agent(reply)
@@ -416,7 +416,9 @@
             self.rig.agent(denied(name, sent), sent, now=0.2)
         self.rig.caller(packet(9), now=0.25)
         for name in ("maps-1", "maps-2", "maps-3"):
-            reply = Holds(question=2, agent=name, held=(), is_sure=True, run_ms=200)
+            reply = OwnershipReply(
+                question=2, agent=name, held=(), is_sure=True, run_ms=200
+            )
             self.rig.agent(reply, now=0.26)
         self.assertEqual(self.rig.steering.retry(now=0.28, draw=self.rig.draw), [])
         actions = self.rig.steering.retry(now=0.39, draw=self.rig.draw)
@@ -428,7 +430,7 @@
         for step in range(round((until - since) * 100)):
             now = since + step / 100
             actions = rig.steering.retry(now=now, draw=rig.draw)
-            frames = [a for a in actions if isinstance(a.frame, Whose)]
+            frames = [a for a in actions if isinstance(a.frame, OwnershipQuery)]
             asked += [(round(now, 2), name) for name in rig.names(frames)]
         return asked
 
@@ -481,7 +483,7 @@
         rig.caller(packet(), now=100.4)
         actions: list = []
         for name in ("maps-1", "maps-2", "maps-3"):
-            reply = Holds(
+            reply = OwnershipReply(
                 question=100_000_001, agent=name, held=(), is_sure=True, run_ms=run_ms
             )
             actions += rig.agent(reply, now=100.41)
@@ -533,7 +535,7 @@
         rig.agent(reply, now=160.01)
         rig.learn(record("maps-2", host=2, change=1, condition=condition), now=160.1)
         rig.caller(packet(2), now=then)
-        sure = Holds(question=0, agent="maps-1", held=(), is_sure=True)
+        sure = OwnershipReply(question=0, agent="maps-1", held=(), is_sure=True)
         number = rig.steering._resolver._queries._last_query
         return resets(rig.agent(replace(sure, question=number), now=then + 0.01))
 
@@ -581,7 +583,7 @@
         for name in ("maps-1", "maps-2"):
             rig.agent(self._inconclusive_reply(name, run_ms=300), now=100.41)
         actions = rig.caller(packet(), now=100.6)
-        carried = [a for a in actions if isinstance(a.frame, Carry)]
+        carried = [a for a in actions if isinstance(a.frame, ForwardPacket)]
         self.assertEqual(carried, [])
 
     def test_one_doubtful_agent(self) -> None:
@@ -591,14 +593,14 @@
         actions = rig.agent(self._inconclusive_reply("maps-2", run_ms=300), now=100.41)
         self.assertEqual(rig.names(actions), [])
         for name in ("maps-1", "maps-3"):
-            reply = Holds(
+            reply = OwnershipReply(
                 question=100_000_001, agent=name, held=(), is_sure=True, run_ms=30_000
             )
             actions = rig.agent(reply, now=100.42)
         self.assertEqual(rig.names(actions), ["maps-2"])
 
-    def _inconclusive_reply(self, name: str, *, run_ms: int) -> Holds:
-        return Holds(
+    def _inconclusive_reply(self, name: str, *, run_ms: int) -> OwnershipReply:
+        return OwnershipReply(
             question=100_000_001, agent=name, held=(), is_sure=False, run_ms=run_ms
         )
 
@@ -610,7 +612,7 @@
         rig = SteeringRig(targets=2, started_at=CONVERGED)
         rig.membership.has_agreed = True
         rig.caller(packet(size=10), now=160.0)
-        reply = Holds(
+        reply = OwnershipReply(
             question=100_000_001, agent="maps-1", held=(), is_sure=True, run_ms=9_000
         )
         actions = rig.agent(reply, now=160.01)
@@ -624,7 +626,7 @@
         rig.caller(packet(size=10), now=160.0)
         rig.agent(self._inconclusive_reply("maps-2", run_ms=900), now=160.01)
         actions = rig.caller(packet(size=10), now=160.2)
-        carried = [a for a in actions if isinstance(a.frame, Carry)]
+        carried = [a for a in actions if isinstance(a.frame, ForwardPacket)]
         self.assertEqual(rig.names(carried), ["maps-2"])
 
     def test_power_was_lost_in_one_data_centre(self) -> None:
--- a/tests/packets/test_verdicts.py
+++ b/tests/packets/test_verdicts.py
@@ -7,7 +7,7 @@
 
 from monsoonpier.balancer.packets.scope import ResetCaller
 from monsoonpier.model.target import Condition
-from monsoonpier.wire.frames import Holds, Whose
+from monsoonpier.wire.frames import OwnershipQuery, OwnershipReply
 from tests.packets.rig import SteeringRig, packet, record
 
 BALANCER_START = 1_000.0  # in seconds
@@ -114,17 +114,17 @@
                 flow = action.packet.flow
                 self.reset_delays.append(self.now - self._first_sent_at_by_flow[flow])
                 self._first_sent_at_by_flow[flow] = -1.0
-            elif isinstance(action.frame, Whose):
+            elif isinstance(action.frame, OwnershipQuery):
                 self.queries += 1
                 self._deliver_query(names[action.endpoint], action.frame)
 
-    def _deliver_query(self, name: str, question: Whose) -> None:
+    def _deliver_query(self, name: str, question: OwnershipQuery) -> None:
         is_lost = self.draw.random() < self.lost
         if not is_lost and name not in self.silent:
             self._after(2 * ONE_WAY_SECONDS, self._reply, name, question)
 
-    def _reply(self, name: str, question: Whose) -> None:
-        reply = Holds(
+    def _reply(self, name: str, question: OwnershipQuery) -> None:
+        reply = OwnershipReply(
             question=question.question,
             agent=name,
             held=(),
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -22,7 +22,13 @@
 from monsoonpier.model.target import TargetRecord
 from monsoonpier.model.token import FlowToken
 from monsoonpier.wire.datagrams import reply_codec
-from monsoonpier.wire.frames import Announce, BalancerRecord, Bounce, Heartbeat, Return
+from monsoonpier.wire.frames import (
+    Announce,
+    BalancerRecord,
+    Heartbeat,
+    OpenReturned,
+    ReplyDatagram,
+)
 
 KEYS = KeyRing(keys=(Key(id=1, secret=b"k" * 32),))
 CALLER = ("10.9.9.9", 5000)
@@ -270,9 +276,9 @@
         common |= {"agent": agent, "load": load}
         match action:
             case actions.Reply(message=message):
-                frame = Return(payload=reply_codec.encode(message), **common)
+                frame = ReplyDatagram(payload=reply_codec.encode(message), **common)
             case actions.Return():
-                frame = Bounce(
+                frame = OpenReturned(
                     payload=action.payload,
                     tried=action.tried,
                     reason=action.reason,
--- a/tests/wire/test_decoders.py
+++ b/tests/wire/test_decoders.py
@@ -10,7 +10,7 @@
 from monsoonpier.model.target import LoadReport
 from monsoonpier.model.token import FlowToken, open_token, seal_token
 from monsoonpier.wire.codec import Dropped
-from monsoonpier.wire.control import AskStatus, ControlCodec
+from monsoonpier.wire.control import ControlCodec, StatusRequest
 from monsoonpier.wire.datagrams import (
     MAX_DATAGRAM_BYTES,
     Item,
@@ -156,4 +156,4 @@
     def test_control_round_trip(self):
         """A control message survives encoding and decoding."""
         codec = ControlCodec(keys=KEYS)
-        self.assertEqual(codec.decode(codec.encode(AskStatus())), AskStatus())
+        self.assertEqual(codec.decode(codec.encode(StatusRequest())), StatusRequest())
