--- a/monsoonpier/agent/tokens/actions.py
+++ b/monsoonpier/agent/tokens/actions.py
@@ -15,7 +15,7 @@
     "NeverSent",
     "RequestKey",
     "Reply",
-    "Return",
+    "ReturnOpen",
     "Run",
     "RunResult",
     "Shed",
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Return:
+class ReturnOpen:
     """Return an OPEN to the balancer, because this target rejects new flows.
 
     ``tried`` names the targets that the balancer has tried before.
@@ -104,7 +104,7 @@
     key: RequestKey
 
 
-Action = Reply | Return | Run | Abort | StartStream | Credit | EndStream
+Action = Reply | ReturnOpen | Run | Abort | StartStream | Credit | EndStream
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/monsoonpier/agent/tokens/holder.py
+++ b/monsoonpier/agent/tokens/holder.py
@@ -9,7 +9,7 @@
     Action,
     Reply,
     RequestKey,
-    Return,
+    ReturnOpen,
     RunResult,
 )
 from monsoonpier.agent.tokens.condition import TargetLifecycle
@@ -38,7 +38,7 @@
 )
 from monsoonpier.wire.frames import ForwardDatagram
 
-__all__ = ["Holder"]
+__all__ = ["FlowOwner"]
 
 UNUSED_FLOW_SECONDS = 10.0  # expiry of a flow without packets after its OPEN
 IDLE_FLOW_SECONDS = 60.0
@@ -48,7 +48,7 @@
 RETURN_RETRY_MS = 1_000  # retry delay of a rejected OPEN
 
 
-class Holder:
+class FlowOwner:
     """Owns the flows of one target. Deterministic, and does no I/O.
 
     The process passes in datagrams, the target's results and the time, and
@@ -74,7 +74,7 @@
         self._open_count = 0
         self._drain_deadline: float | None = None
         self._next_go_away_at = 0.0
-        self.life = TargetLifecycle()
+        self.lifecycle = TargetLifecycle()
         self.service: Service | None = None
         self.dropped_by_reason: Counter[str] = Counter()
         self.rejected_opens = 0
@@ -105,8 +105,8 @@
             queued=self._requests.queued,
             flows=len(self._flows_by_id),
             service_ms=int(self._requests.service_seconds * 1000),
-            age_ms=self.life.age_ms(now=now),
-            condition=self.life.condition,
+            age_ms=self.lifecycle.age_ms(now=now),
+            condition=self.lifecycle.condition,
         )
 
     def is_finished(self, *, now: float) -> bool:
@@ -119,7 +119,7 @@
 
     # Packets from callers
 
-    def forwarded(
+    def handle_datagram(
         self,
         frame: ForwardDatagram,
         *,
@@ -163,7 +163,7 @@
             if reason:
                 self.rejected_opens += 1
                 return [
-                    Return(
+                    ReturnOpen(
                         via=via,
                         ip=frame.ip,
                         port=frame.port,
@@ -191,8 +191,8 @@
 
     def _flow_rejection_reason(self) -> str:
         """Return why new flows are rejected, or an empty string if they aren't."""
-        if not self.life.takes_flows:
-            return self.life.label
+        if not self.lifecycle.takes_flows:
+            return self.lifecycle.label
         if self.service is None:
             return "no configuration"
         if len(self._flows_by_id) >= self._connections:
@@ -211,7 +211,7 @@
                     flow,
                     message,
                     service=self.service,
-                    lifecycle=self.life,
+                    lifecycle=self.lifecycle,
                     now=now,
                     draw=draw,
                 )
@@ -239,7 +239,7 @@
             case Ping():
                 actions = self._requests.advance_watermark(flow, message.acked)
                 replies = [Pong(flow=flow.id)]
-                if self.life.is_leaving:
+                if self.lifecycle.is_leaving:
                     replies.append(GoAway(flow=flow.id))
                 return actions + self._replies(flow, replies)
             case Close():
@@ -250,7 +250,7 @@
         self, flow: Flow, message: StreamOpen, *, now: float
     ) -> list[Action]:
         """Start a stream, or end it at once if there is none of its kind."""
-        if self.life.is_leaving:
+        if self.lifecycle.is_leaving:
             return self._replies(flow, [GoAway(flow=flow.id)])
         kind = self.service and self.service.kinds_by_name.get(message.kind)
         if not kind or not kind.stream:
@@ -271,7 +271,7 @@
     ) -> list[Action]:
         """Handle the result of a request that was dispatched to the target."""
         had_enough_time = self._requests.had_enough_time(key)
-        self.life = self.life.after_run(
+        self.lifecycle = self.lifecycle.after_run(
             result, had_enough_time=had_enough_time, now=now
         )
         flow, replies = self._requests.finish_run(key, result, now=now, draw=draw)
@@ -311,7 +311,7 @@
         """Start draining: reject new work and ask callers to move their flows."""
         if self._drain_deadline is not None:
             return []
-        self.life = self.life.leave(now=now)
+        self.lifecycle = self.lifecycle.leave(now=now)
         self._drain_deadline = now + LINGER_SECONDS
         for flow in self._flows_by_id.values():
             flow.expires = min(flow.expires, self._drain_deadline)
@@ -322,11 +322,11 @@
         """Stop draining."""
         if self._drain_deadline is not None:
             self._drain_deadline = None
-            self.life = self.life.stay(now=now)
+            self.lifecycle = self.lifecycle.stay(now=now)
 
     def tick(self, *, now: float, draw: random.Random) -> list[Action]:
         """Handle all timers that are due by ``now``."""
-        self.life = self.life.advance(now=now)
+        self.lifecycle = self.lifecycle.advance(now=now)
         actions: list[Action] = []
         while self._timers and self._timers[0][0] <= now:
             _, flow_id, number = heapq.heappop(self._timers)
@@ -359,7 +359,7 @@
 
     def _fill_slots(self, *, now: float) -> list[Action]:
         """Dispatch queued requests to free slots."""
-        runs, rejected = self._requests.next_runs(lifecycle=self.life, now=now)
+        runs, rejected = self._requests.next_runs(lifecycle=self.lifecycle, now=now)
         actions: list[Action] = list(runs)
         for flow, replies in rejected:
             actions += self._replies(flow, replies)
--- a/monsoonpier/agent/tokens/process.py
+++ b/monsoonpier/agent/tokens/process.py
@@ -14,11 +14,11 @@
     Credit,
     EndStream,
     Reply,
-    Return,
+    ReturnOpen,
     Run,
     StartStream,
 )
-from monsoonpier.agent.tokens.holder import Holder
+from monsoonpier.agent.tokens.holder import FlowOwner
 from monsoonpier.agent.tokens.runner import (
     Event,
     ItemRead,
@@ -81,7 +81,7 @@
             port=settings.internal.port,
             instance=instance,
         )
-        self._owner = Holder(
+        self._owner = FlowOwner(
             token=token,
             keys=settings.keys,
             slots=settings.target.slots,
@@ -108,7 +108,7 @@
         self._web = WebServer(
             address=settings.metrics,
             read_metrics=self._metrics,
-            is_ready=lambda: self._life.is_ready and self._owner.life.takes_flows,
+            is_ready=lambda: self._life.is_ready and self._owner.lifecycle.takes_flows,
         )
         self._dropped_frames: dict[str, int] = {}
         self._control_bytes = {"in": 0, "out": 0}
@@ -141,7 +141,7 @@
         await self._life.wait_for_leaving()
         self._shutdown_requested = True
         self._execute(self._owner.leave(now=_now()))
-        self._link.announce(self._owner.life.condition)
+        self._link.announce(self._owner.lifecycle.condition)
         while not self._owner.is_finished(now=_now()):
             await asyncio.sleep(TICK_SECONDS)
         for _ in range(GONE_ANNOUNCEMENTS):
@@ -164,7 +164,7 @@
         frame = self._codec.decode(data)
         match frame:
             case ForwardDatagram():
-                actions = self._owner.forwarded(
+                actions = self._owner.handle_datagram(
                     frame, via=sender, now=_now(), draw=self._draw
                 )
                 self._execute(actions)
@@ -194,7 +194,7 @@
                     self._runner.credit(action)
                 case EndStream():
                     self._runner.end_stream(action)
-                case Return():
+                case ReturnOpen():
                     self._return_open(action)
 
     def _send_reply(self, reply: Reply) -> None:
@@ -209,7 +209,7 @@
         )
         self._send(frame, reply.via)
 
-    def _return_open(self, action: Return) -> None:
+    def _return_open(self, action: ReturnOpen) -> None:
         """Return an OPEN to its balancer, which can attempt another target."""
         frame = OpenReturned(
             service=self._settings.target.service,
@@ -227,7 +227,7 @@
     # Events from the target
 
     def _handle_event(self, event: Event) -> None:
-        previous = self._owner.life.label
+        previous = self._owner.lifecycle.label
         match event:
             case RunEnded(key=key, result=result):
                 actions = self._owner.run_ended(
@@ -251,29 +251,29 @@
 
     def _handle_health(self, health: HealthStatus) -> None:
         """Drain if the target asks for it; serve again if it is healthy."""
-        previous = self._owner.life.label
+        previous = self._owner.lifecycle.label
         if health.draining:
             self._execute(self._owner.leave(now=_now()))
         elif health.healthy:
             may_stay = self._is_allowed and not self._shutdown_requested
-            if self._owner.life.is_leaving and may_stay:
+            if self._owner.lifecycle.is_leaving and may_stay:
                 self._owner.stay(now=_now())
-            self._owner.life = self._owner.life.healthy(now=_now())
+            self._owner.lifecycle = self._owner.lifecycle.healthy(now=_now())
         self._announce_if_changed(previous)
 
     async def _tick_forever(self) -> None:
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            previous = self._owner.life.label
+            previous = self._owner.lifecycle.label
             self._execute(self._owner.tick(now=_now(), draw=self._draw))
             self._announce_if_changed(previous)
 
     def _announce_if_changed(self, previous: str) -> None:
         """Announce a changed target state without waiting for the next heartbeat."""
-        label = self._owner.life.label
+        label = self._owner.lifecycle.label
         if label != previous:
             _log.info("target state changed", before=previous, after=label)
-            self._link.announce(self._owner.life.condition)
+            self._link.announce(self._owner.lifecycle.condition)
 
     # Balancers
 
@@ -292,7 +292,7 @@
 
     def _handle_heartbeat_ack(self, ack: HeartbeatAck) -> None:
         """Handle a heartbeat's reply; drain while the target is not allowed."""
-        previous = self._owner.life.label
+        previous = self._owner.lifecycle.label
         self._is_allowed = self._link.handle_ack(ack)
         if not self._is_allowed:
             self._execute(self._owner.leave(now=_now()))
@@ -306,8 +306,8 @@
 
     def _evacuate(self) -> None:
         """Apply an evacuation order or its revocation; open flows keep their work."""
-        life = self._owner.life
-        self._owner.life = life.with_evacuation(self._link.is_evacuated)
+        life = self._owner.lifecycle
+        self._owner.lifecycle = life.with_evacuation(self._link.is_evacuated)
 
     # Control requests and metrics
 
@@ -318,7 +318,7 @@
                     name=self._settings.name,
                     role="agent",
                     data_centre=self._settings.data_centre,
-                    state=self._owner.life.label,
+                    state=self._owner.lifecycle.label,
                     version=self._link.configuration.version,
                     uptime=_now() - self._started,
                 )
--- a/monsoonpier/caller/command.py
+++ b/monsoonpier/caller/command.py
@@ -7,11 +7,11 @@
 from monsoonpier.exits import Exit
 from monsoonpier.model.outcome import Done, NotRun, Outcome, Refused
 
-__all__ = ["Call", "run_call"]
+__all__ = ["CallArguments", "run_call"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Call:
+class CallArguments:
     """The arguments of ``monsoonpier call``; ``deadline`` is in seconds."""
 
     address: str
@@ -24,7 +24,7 @@
     deadline: float
 
 
-async def run_call(call: Call) -> int:
+async def run_call(call: CallArguments) -> int:
     """Make the call and print the result; return the exit status."""
     try:
         caller = Caller(call.address)
@@ -40,7 +40,7 @@
     return _print_outcome(outcome)
 
 
-async def _print_stream(caller: Caller, call: Call) -> int:
+async def _print_stream(caller: Caller, call: CallArguments) -> int:
     count = 0
     async for item in caller.stream(call.kind, after=call.after):
         print(f"{item.number}\t{item.body.decode(errors='replace')}", flush=True)
--- a/monsoonpier/cli/processes.py
+++ b/monsoonpier/cli/processes.py
@@ -93,7 +93,7 @@
         deadline: Time limit for the response, in seconds.
         log_level: The lowest level that is logged.
     """
-    from monsoonpier.caller.command import Call, run_call
+    from monsoonpier.caller.command import CallArguments, run_call
     from monsoonpier.process.logs import configure_logs
 
     configure_logs(level=log_level, process="call")
@@ -103,7 +103,7 @@
             content = file.read_bytes()
         except OSError as error:
             raise CommandError(f"{file}: {error.strerror}", Exit.BAD_INPUT) from error
-    arguments = Call(
+    arguments = CallArguments(
         address=address,
         kind=kind,
         body=content,
--- a/tests/agent/test_named_cases.py
+++ b/tests/agent/test_named_cases.py
@@ -62,7 +62,9 @@
             port=5000,
             payload=caller_codec.encode(message),
         )
-        return self.owner.forwarded(frame, via=via, now=self.now, draw=self.rig.draw)
+        return self.owner.handle_datagram(
+            frame, via=via, now=self.now, draw=self.rig.draw
+        )
 
     def request(self, number: int, *, acked: int = 1, body: bytes = b"w", **more):
         """Send a request of one part."""
@@ -122,7 +124,7 @@
         agent.owner.leave(now=agent.now)
         self.assertEqual(statuses(agent.request(1)), [FinalStatusKind.NOT_RUN])
         agent.owner.stay(now=agent.now)
-        agent.owner.life = agent.owner.life.healthy(now=agent.now)
+        agent.owner.lifecycle = agent.owner.lifecycle.healthy(now=agent.now)
         self.assertEqual(runs(agent.request(1)), 0)
 
     def test_replaced_instance(self):
@@ -449,14 +451,14 @@
     def test_healthy_but_unresponsive(self):
         """A healthy target that answers no requests takes no new flows."""
         agent = self._silent()
-        agent.owner.life = agent.owner.life.healthy(now=agent.now)
-        self.assertEqual(agent.owner.life.state, "unresponsive")
+        agent.owner.lifecycle = agent.owner.lifecycle.healthy(now=agent.now)
+        self.assertEqual(agent.owner.lifecycle.state, "unresponsive")
         self.assertEqual(statuses(agent.request(4)), [FinalStatusKind.NOT_RUN])
         agent.tick(2.1)
         self.assertEqual(runs(agent.request(5)), 1)
         self.assertEqual(runs(agent.request(6)), 0)
         agent.end(5, Answered(status=200, body=b"", seconds=0.1))
-        self.assertTrue(agent.owner.life.takes_flows)
+        self.assertTrue(agent.owner.lifecycle.takes_flows)
 
     def test_unresponsive_target_without_flows_is_probed(self):
         """An unresponsive target takes flows again later, so that it is probed."""
@@ -491,7 +493,7 @@
             agent.request(number, time_left_ms=150)
             agent.tick(0.16)
             agent.end(number, TimedOut())
-        self.assertEqual(agent.owner.life.state, "serving")
+        self.assertEqual(agent.owner.lifecycle.state, "serving")
 
     def test_queue_leaves_time_to_run(self):
         """A request that could start but not finish in time is rejected."""
@@ -510,9 +512,9 @@
         agent = AgentHarness()
         agent.request(1)
         agent.end(1, Shed(retry_after=1.5))
-        self.assertFalse(agent.owner.life.takes_flows)
+        self.assertFalse(agent.owner.lifecycle.takes_flows)
         agent.tick(1.6)
-        self.assertTrue(agent.owner.life.takes_flows)
+        self.assertTrue(agent.owner.lifecycle.takes_flows)
 
     def test_cancelled_runs_are_no_failures(self):
         """Cancelled runs don't count as failures."""
@@ -522,4 +524,4 @@
         for number in range(1, 6):
             agent.request(number)
             agent.end(number, Aborted())
-        self.assertEqual(agent.owner.life.state, "serving")
+        self.assertEqual(agent.owner.lifecycle.state, "serving")
--- a/tests/agent/test_process.py
+++ b/tests/agent/test_process.py
@@ -43,7 +43,7 @@
 
     @property
     def _state(self) -> str:
-        return self.agent._owner.life.state
+        return self.agent._owner.lifecycle.state
 
     async def test_healthy_does_not_make_it_allowed(self):
         """A healthy target that isn't allowed stays leaving."""
@@ -68,7 +68,7 @@
                 balancer="b1", version=1, known=True, allowed=True, evacuation=order
             )
             self.agent._handle_heartbeat_ack(ack)
-            life = self.agent._owner.life
+            life = self.agent._owner.lifecycle
             self.assertEqual(life.takes_flows, revision == 9)
             self.assertEqual(life.takes_requests, revision == 9)
             self.assertIs(
@@ -83,4 +83,4 @@
             balancer="b1", version=1, known=True, allowed=True, evacuation=order
         )
         self.agent._handle_heartbeat_ack(ack)
-        self.assertTrue(self.agent._owner.life.takes_flows)
+        self.assertTrue(self.agent._owner.lifecycle.takes_flows)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from monsoonpier.agent.tokens import actions
-from monsoonpier.agent.tokens.holder import Holder
+from monsoonpier.agent.tokens.holder import FlowOwner
 from monsoonpier.balancer.actions import ToAgent, ToCaller
 from monsoonpier.balancer.tokens.decision import Balancer
 from monsoonpier.caller.session import FlowLostEvent, FlowSession, RequestEnded
@@ -70,12 +70,12 @@
     return TargetRecord(**fields | more)
 
 
-def holder(of: TargetRecord, **limits) -> Holder:
+def holder(of: TargetRecord, **limits) -> FlowOwner:
     """Return the decision logic of an agent whose target serves."""
     token = FlowToken(service="maps", ip=of.ip, port=of.port, instance=of.instance)
-    made = Holder(token=token, keys=KEYS, slots=of.slots, connections=of.connections)
+    made = FlowOwner(token=token, keys=KEYS, slots=of.slots, connections=of.connections)
     made.service = service(**limits)
-    made.life = made.life.healthy(now=0.0)
+    made.lifecycle = made.lifecycle.healthy(now=0.0)
     return made
 
 
@@ -258,7 +258,7 @@
     def _do(self, agent: str, todo: list) -> None:
         for action in todo:
             match action:
-                case actions.Reply() | actions.Return():
+                case actions.Reply() | actions.ReturnOpen():
                     self.at(DELAY, self._from_agent, agent, action)
                 case actions.Run():
                     self._run(agent, action)
@@ -277,7 +277,7 @@
         match action:
             case actions.Reply(message=message):
                 frame = ReplyDatagram(payload=reply_codec.encode(message), **common)
-            case actions.Return():
+            case actions.ReturnOpen():
                 frame = OpenReturned(
                     payload=action.payload,
                     tried=action.tried,
@@ -319,7 +319,7 @@
             result = actions.Answered(status=200, body=body, seconds=seconds)
         self.at(seconds, self._ended, agent, self.holders[agent], run.key, result)
 
-    def _ended(self, agent: str, of: Holder, key, result) -> None:
+    def _ended(self, agent: str, of: FlowOwner, key, result) -> None:
         # A process that was killed in the meantime receives no result.
         if self.holders.get(agent) is of and agent not in self.dead:
             if key in self._aborted:
