--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -16,7 +16,12 @@
 
 from bench.probe import KEYRING, FakeAgents, fit, pause_after_burst, read_cost
 from monsoonpier.documents.configuration import parse_files
-from monsoonpier.documents.stored import Stored, encode_stored, pack, unstore
+from monsoonpier.documents.stored import (
+    StoredConfiguration,
+    decode_configuration,
+    encode_stored,
+    pack,
+)
 from monsoonpier.model.target import Condition, LoadReport
 from monsoonpier.model.token import FlowToken, seal_token
 from monsoonpier.process.udp import open_udp
@@ -291,7 +296,7 @@
         files = {"all.yaml": json.dumps({"services": services})}
         parsed = parse_files(files)
         assert not parsed.findings, parsed.findings
-        stored = Stored(
+        stored = StoredConfiguration(
             version=1,
             apply_id="0" * 32,
             who="ana",
@@ -303,7 +308,7 @@
         times = []
         for _ in range(3):
             started_at = time.process_time()
-            unstore(value)
+            decode_configuration(value)
             times.append((time.process_time() - started_at) * 1000)
         points.append((count, statistics.median(times)))
         sizes.append((count, len(value)))
--- a/monsoonpier/agent/balancer_link.py
+++ b/monsoonpier/agent/balancer_link.py
@@ -9,12 +9,12 @@
 import structlog
 
 from monsoonpier.agent.witnesses import HeartbeatPeers
-from monsoonpier.documents.stored import unpack, unstore
+from monsoonpier.documents.stored import decode_configuration, unpack
 from monsoonpier.model.evacuation import Evacuations
 from monsoonpier.model.service import Configuration
 from monsoonpier.model.settings import Settings
 from monsoonpier.model.target import Condition, LoadReport, TargetRecord
-from monsoonpier.process.control import NoAnswer, ask
+from monsoonpier.process.control import NoResponseError, send_request
 from monsoonpier.process.registry import registered_balancers
 from monsoonpier.store.backoff import Backoff
 from monsoonpier.store.interface import Store, StoreError
@@ -266,8 +266,10 @@
             newer_than=self.configuration.version, service=self.record.service
         )
         try:
-            reply = await ask(balancer.control, request, keys=self._settings.keys)
-        except NoAnswer as error:
+            reply = await send_request(
+                balancer.control, request, keys=self._settings.keys
+            )
+        except NoResponseError as error:
             _log.info("fetching the configuration failed", reason=str(error))
             return
         if isinstance(reply, ConfigurationReply) and reply.packed:
@@ -276,7 +278,7 @@
     def _apply_configuration(self, packed: bytes) -> None:
         """Apply a configuration unless it is older than the present one."""
         try:
-            configuration = unstore(unpack(packed))
+            configuration = decode_configuration(unpack(packed))
         except ValueError as error:
             _log.error("stored configuration not usable", reason=str(error))
             return
--- a/monsoonpier/agent/packets/load.py
+++ b/monsoonpier/agent/packets/load.py
@@ -11,7 +11,7 @@
 from monsoonpier.agent.packets.run_times import RunTimes
 from monsoonpier.agent.packets.slot_use import SlotUse
 from monsoonpier.model.target import QUEUE_AHEAD, Condition, LoadReport
-from monsoonpier.process.readings import Histogram, Reading, Series, gauge
+from monsoonpier.process.readings import Histogram, Metric, Series, gauge
 
 __all__ = ["LoadLevel", "TargetLoad"]
 
@@ -237,7 +237,7 @@
         return present | self.use.total.fields
 
     @property
-    def readings(self) -> tuple[Reading, ...]:
+    def readings(self) -> tuple[Metric, ...]:
         """The metrics of slots and of the flows that wait for them."""
         queued_by_class = {("in_time",): self.queue.timely, ("late",): self.queue.late}
         return (
--- a/monsoonpier/agent/packets/process.py
+++ b/monsoonpier/agent/packets/process.py
@@ -26,10 +26,10 @@
 from monsoonpier.model.address import Address
 from monsoonpier.model.settings import Settings
 from monsoonpier.model.target import ABSENT_SECONDS, Condition
-from monsoonpier.process.control import ControlServer, answer_drain
+from monsoonpier.process.control import ControlServer, handle_drain
 from monsoonpier.process.frames import send_frame
-from monsoonpier.process.life import ProcessLife, run_until_left
-from monsoonpier.process.logs import DecisionLog, flow_name
+from monsoonpier.process.life import ProcessLifecycle, run_until_shutdown
+from monsoonpier.process.logs import DecisionLog, format_flow
 from monsoonpier.process.readings import counter, gauge
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.process.web import WebServer
@@ -94,7 +94,7 @@
         self._packet_codec = codec
         self._store = store
         self._draw = random.Random()
-        self._life = ProcessLife()
+        self._life = ProcessLifecycle()
         self._started = time.monotonic()
         self._frame_codec = FrameCodec(keys=settings.keys)
         self._sender = LinkSender(bits_per_second=settings.link_bits_per_second)
@@ -167,7 +167,7 @@
             self._link.run,
             self._liveness.run,
         )
-        await run_until_left(self._shut_down, tasks)
+        await run_until_shutdown(self._shut_down, tasks)
         await self._store.close()
         await self._web.stop()
         self._control.stop()
@@ -415,7 +415,7 @@
                     reset = self._packet_codec.reset(flow, acknowledged=acknowledged)
                     self._send_to_caller(reset, ip=ip, flow=flow)
                     _log.info(
-                        "caller reset", flow=flow_name(flow), reason="target ended"
+                        "caller reset", flow=format_flow(flow), reason="target ended"
                     )
         self._report_soon()
 
@@ -481,7 +481,7 @@
                 )
             case DrainRequest():
                 name = self._settings.name
-                return answer_drain(message, name=name, life=self._life)
+                return handle_drain(message, name=name, life=self._life)
         return None
 
     def _metrics(self):
@@ -492,7 +492,7 @@
         yield gauge("failed_percent", "Recent requests that failed, in %.", failed)
         yield self._holder.target_load.answer_seconds
         yield from self._holder.target_load.readings
-        yield from self._sender.readings
+        yield from self._sender.metrics
         results = self._holder.counts_by_result
         yield counter("flow_decisions", "Decisions on flows.", results, "result")
         drops = self._dropped_by_reason
--- a/monsoonpier/agent/packets/slot_use.py
+++ b/monsoonpier/agent/packets/slot_use.py
@@ -7,7 +7,7 @@
 from collections import deque
 from dataclasses import asdict, dataclass
 
-from monsoonpier.process.readings import Histogram, Reading, counter
+from monsoonpier.process.readings import Histogram, Metric, counter
 
 __all__ = ["SlotSeconds", "SlotUse"]
 
@@ -127,7 +127,7 @@
         )
 
     @property
-    def readings(self) -> tuple[Reading, ...]:
+    def readings(self) -> tuple[Metric, ...]:
         """The metrics of slot use."""
         total = self.total
         return (
--- a/monsoonpier/agent/tokens/process.py
+++ b/monsoonpier/agent/tokens/process.py
@@ -32,9 +32,9 @@
 from monsoonpier.model.settings import Settings
 from monsoonpier.model.target import Condition
 from monsoonpier.model.token import FlowToken
-from monsoonpier.process.control import ControlServer, answer_drain
+from monsoonpier.process.control import ControlServer, handle_drain
 from monsoonpier.process.frames import send_frame
-from monsoonpier.process.life import ProcessLife, run_until_left
+from monsoonpier.process.life import ProcessLifecycle, run_until_shutdown
 from monsoonpier.process.readings import counter, gauge
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.process.web import WebServer
@@ -72,7 +72,7 @@
         assert settings.metrics
         self._settings = settings
         self._draw = random.Random()
-        self._life = ProcessLife()
+        self._life = ProcessLifecycle()
         self._started = time.monotonic()
         instance = os.urandom(INSTANCE_BYTES)
         token = FlowToken(
@@ -133,7 +133,7 @@
             self._check_health_forever,
             self._link.run,
         )
-        await run_until_left(self._drain_and_finish, jobs)
+        await run_until_shutdown(self._drain_and_finish, jobs)
         await self._stop()
 
     async def _drain_and_finish(self) -> None:
@@ -324,7 +324,7 @@
                 )
             case DrainRequest():
                 name = self._settings.name
-                return answer_drain(message, name=name, life=self._life)
+                return handle_drain(message, name=name, life=self._life)
         return None
 
     def _metrics(self):
@@ -354,7 +354,7 @@
         for reason, count in self._dropped_frames.items():
             drops[reason] = drops.get(reason, 0) + count
         yield counter("dropped_datagrams", "Dropped datagrams.", drops, "reason")
-        yield from self._sender.readings
+        yield from self._sender.metrics
         yield counter(
             "control_bytes",
             "Bytes of control traffic.",
--- a/monsoonpier/balancer/member.py
+++ b/monsoonpier/balancer/member.py
@@ -22,9 +22,14 @@
 from monsoonpier.model.revision import Revision
 from monsoonpier.model.settings import Settings
 from monsoonpier.model.waiting_summary import WaitingSummary
-from monsoonpier.process.control import ControlServer, NoAnswer, answer_drain, ask
+from monsoonpier.process.control import (
+    ControlServer,
+    NoResponseError,
+    handle_drain,
+    send_request,
+)
 from monsoonpier.process.frames import send_frame
-from monsoonpier.process.life import ProcessLife
+from monsoonpier.process.life import ProcessLifecycle
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.store.backoff import Backoff
 from monsoonpier.store.interface import Store
@@ -92,7 +97,7 @@
         *,
         settings: Settings,
         membership: Membership,
-        life: ProcessLife,
+        life: ProcessLifecycle,
         sender: LinkSender,
         store: Store,
         take_frame: Callable[[object, tuple[str, int]], None],
@@ -380,8 +385,10 @@
             case FetchTable():
                 request = TableRequest(digests=membership.table.bucket_digests)
         try:
-            reply = await ask(action.control, request, keys=self._settings.keys)
-        except NoAnswer as error:
+            reply = await send_request(
+                action.control, request, keys=self._settings.keys
+            )
+        except NoResponseError as error:
             _log.info("peer did not answer", reason=str(error))
             return
         match reply:
@@ -411,7 +418,7 @@
                 return self._status()
             case DrainRequest():
                 name = self._settings.name
-                return answer_drain(message, name=name, life=self._life)
+                return handle_drain(message, name=name, life=self._life)
         return None
 
     def _status(self) -> StatusReply:
--- a/monsoonpier/balancer/packets/process.py
+++ b/monsoonpier/balancer/packets/process.py
@@ -17,7 +17,7 @@
 from monsoonpier.link.sender import LinkSender
 from monsoonpier.model.address import Address
 from monsoonpier.model.settings import Settings
-from monsoonpier.process.life import ProcessLife, run_until_left
+from monsoonpier.process.life import ProcessLifecycle, run_until_shutdown
 from monsoonpier.process.logs import DecisionLog
 from monsoonpier.process.readings import counter, gauge
 from monsoonpier.process.udp import UdpSocket, open_udp
@@ -62,7 +62,7 @@
         self._codec = codec
         self._store = store
         self._draw = random.Random()
-        self._life = ProcessLife()
+        self._life = ProcessLifecycle()
         self._started = time.monotonic()
         self._membership = Membership(
             own=balancer_record(settings), started_at=self._started
@@ -116,7 +116,7 @@
         await self._web.start()
         self._life.install_signals()
         _log.info("started", packets=str(self._packets))
-        await run_until_left(self._leave_and_finish, self._member.jobs)
+        await run_until_shutdown(self._leave_and_finish, self._member.jobs)
         await self._web.stop()
         self._socket.close()
         await self._member.stop()
@@ -229,7 +229,7 @@
             self._steering.waiting_summaries(now=_now()),
             data_centre=self._settings.data_centre,
         )
-        yield from self._sender.readings
+        yield from self._sender.metrics
         yield self._store.call_seconds
         generation = membership.store_generation
         yield gauge(
--- a/monsoonpier/balancer/packets/steering.py
+++ b/monsoonpier/balancer/packets/steering.py
@@ -20,7 +20,7 @@
 from monsoonpier.balancer.packets.scope import SteeringContext
 from monsoonpier.model.waiting_summary import WaitingSummary
 from monsoonpier.process.logs import DecisionLog
-from monsoonpier.process.readings import Reading
+from monsoonpier.process.readings import Metric
 from monsoonpier.wire.frames import (
     AttemptRejected,
     FirstAttemptQuery,
@@ -73,7 +73,7 @@
         return self._context.opened_by_service
 
     @property
-    def histograms(self) -> tuple[Reading, ...]:
+    def histograms(self) -> tuple[Metric, ...]:
         """Histograms of placement waits and of the age of load reports."""
         return (self._new_flows.wait_seconds, self._new_flows.load_age_seconds)
 
--- a/monsoonpier/balancer/packets/wait_readings.py
+++ b/monsoonpier/balancer/packets/wait_readings.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from monsoonpier.model.waiting_summary import WaitingSummary
-from monsoonpier.process.readings import Reading, Series
+from monsoonpier.process.readings import Metric, Series
 
 __all__ = ["wait_metrics"]
 
@@ -16,7 +16,7 @@
 
 def wait_metrics(
     summaries: Iterable[WaitingSummary], *, data_centre: str
-) -> tuple[Reading, ...]:
+) -> tuple[Metric, ...]:
     """Return the metrics.
 
     Args:
--- a/monsoonpier/balancer/stored_configuration.py
+++ b/monsoonpier/balancer/stored_configuration.py
@@ -7,7 +7,7 @@
 
 from monsoonpier.balancer.configuration_copy import ConfigurationCopy
 from monsoonpier.balancer.membership import Membership
-from monsoonpier.documents.stored import pack, unpack, unstore
+from monsoonpier.documents.stored import decode_configuration, pack, unpack
 from monsoonpier.model.findings import report
 from monsoonpier.model.service import Configuration
 
@@ -33,7 +33,8 @@
 
 
 STORED_FORMAT = ConfigurationFormat(
-    decode=unstore, pack=lambda value, service: pack(value, service=service)
+    decode=decode_configuration,
+    pack=lambda value, service: pack(value, service=service),
 )
 
 
--- a/monsoonpier/balancer/tokens/process.py
+++ b/monsoonpier/balancer/tokens/process.py
@@ -14,7 +14,7 @@
 from monsoonpier.link.schedule import Urgency
 from monsoonpier.link.sender import LinkSender
 from monsoonpier.model.settings import Settings
-from monsoonpier.process.life import ProcessLife, run_until_left
+from monsoonpier.process.life import ProcessLifecycle, run_until_shutdown
 from monsoonpier.process.readings import counter, gauge
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.process.web import WebServer
@@ -35,7 +35,7 @@
         assert settings.internal and settings.control and settings.metrics
         self._settings = settings
         self._draw = random.Random()
-        self._life = ProcessLife()
+        self._life = ProcessLifecycle()
         self._started = time.monotonic()
         self._balancer = Balancer(
             own=balancer_record(settings),
@@ -74,7 +74,7 @@
         self._life.install_signals()
         _log.info("started")
         jobs = (*self._node.jobs, self._bind_forever)
-        await run_until_left(self._leave_and_finish, jobs)
+        await run_until_shutdown(self._leave_and_finish, jobs)
         await self._stop()
 
     async def _leave_and_finish(self) -> None:
@@ -187,7 +187,7 @@
         drops = balancer.dropped_by_reason + Counter(self._node.dropped_by_reason)
         yield counter("dropped_datagrams", "Dropped datagrams.", drops, "reason")
         control = self._node.bytes_by_direction
-        yield from self._sender.readings
+        yield from self._sender.metrics
         yield counter(
             "control_bytes", "Bytes of control traffic.", control, "direction"
         )
--- a/monsoonpier/documents/stored.py
+++ b/monsoonpier/documents/stored.py
@@ -11,18 +11,20 @@
 from monsoonpier.model.service import Configuration, Service
 
 __all__ = [
-    "Stored",
+    "StoredConfiguration",
     "decode_stored",
     "encode_stored",
     "pack",
     "unpack",
-    "unstore",
+    "decode_configuration",
 ]
 
 MAX_UNPACKED_BYTES = 2 * 1_048_576  # limit of decompression
 
 
-class Stored(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+class StoredConfiguration(
+    msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True
+):
     """The stored value: the files as written, and the services they declare."""
 
     version: int
@@ -34,15 +36,15 @@
 
 
 _encode = msgspec.json.Encoder().encode
-_decode = msgspec.json.Decoder(Stored).decode
+_decode = msgspec.json.Decoder(StoredConfiguration).decode
 
 
-def encode_stored(stored: Stored) -> bytes:
+def encode_stored(stored: StoredConfiguration) -> bytes:
     """Encode a configuration as a stored value."""
     return _encode(stored)
 
 
-def decode_stored(value: bytes) -> Stored:
+def decode_stored(value: bytes) -> StoredConfiguration:
     """Decode a stored value.
 
     Raises:
@@ -54,7 +56,7 @@
         raise ValueError(f"invalid stored configuration: {error}") from error
 
 
-def unstore(value: bytes) -> Configuration:
+def decode_configuration(value: bytes) -> Configuration:
     """Decode the version and services of a stored value.
 
     Raises:
--- a/monsoonpier/link/schedule.py
+++ b/monsoonpier/link/schedule.py
@@ -125,32 +125,32 @@
         self._queued_by_flow: Counter[bytes] = Counter()
         self._urgency_by_flow: dict[bytes, Urgency] = {}
         self._small_run = 0  # small datagrams sent since the last large one
-        self.kept_bytes = 0
+        self.queued_bytes = 0
         self.dropped_by_reason: Counter[str] = Counter()
 
     def __len__(self) -> int:
         return len(self._queued)
 
-    def admits(self, size: int, *, now: float) -> bool:
+    def try_admit(self, size: int, *, now: float) -> bool:
         """Return whether ``size`` bytes may be sent now; if so, take the tokens."""
         if self._queued or self._free_at - now > AHEAD_SECONDS:
             return False
         self._take_tokens(size, now=now)
         return True
 
-    def keep(self, datagram: Datagram) -> None:
+    def enqueue(self, datagram: Datagram) -> None:
         """Queue a datagram; drop datagrams if the queues are over their limit."""
         content = (datagram.endpoint, datagram.data)
         if content in self._queued:
             self.dropped_by_reason["copy"] += 1
             return
         self._queued.add(content)
-        self.kept_bytes += _size(datagram.data)
+        self.queued_bytes += _size(datagram.data)
         self._queues[self._assign_queue(datagram)].append(datagram)
-        while self.kept_bytes > self._max_bytes and self._drop_one():
+        while self.queued_bytes > self._max_bytes and self._drop_one():
             pass
 
-    def due(self, *, now: float) -> Iterator[Datagram]:
+    def pop_due(self, *, now: float) -> Iterator[Datagram]:
         """Remove and yield the datagrams to send now, in order."""
         while self._queued and self._free_at - now <= AHEAD_SECONDS:
             datagram = self._pop_next()
@@ -202,7 +202,7 @@
     def _untrack(self, datagram: Datagram) -> Datagram:
         """Remove a datagram that left its queue from all counts; return it."""
         self._queued.discard((datagram.endpoint, datagram.data))
-        self.kept_bytes -= _size(datagram.data)
+        self.queued_bytes -= _size(datagram.data)
         flow = datagram.flow
         if flow:
             self._queued_by_flow[flow] -= 1
--- a/monsoonpier/link/sender.py
+++ b/monsoonpier/link/sender.py
@@ -6,7 +6,7 @@
 import structlog
 
 from monsoonpier.link.schedule import Datagram, LinkSchedule, Urgency
-from monsoonpier.process.readings import Histogram, Reading, counter, gauge
+from monsoonpier.process.readings import Histogram, Metric, counter, gauge
 from monsoonpier.process.udp import UdpSocket
 
 __all__ = ["LinkSender"]
@@ -49,11 +49,11 @@
             socket.send(data, endpoint)
             return
         now = _now()
-        if schedule.admits(len(data), now=now):
+        if schedule.try_admit(len(data), now=now):
             socket.send(data, endpoint)
             return
         self._queued_by_urgency[urgency.name.lower()] += 1
-        schedule.keep(
+        schedule.enqueue(
             Datagram(
                 data=data,
                 endpoint=endpoint,
@@ -68,13 +68,13 @@
             self._schedule_release(now=now)
 
     @property
-    def readings(self) -> tuple[Reading, ...]:
+    def metrics(self) -> tuple[Metric, ...]:
         """Metrics of queued and dropped datagrams; none without pacing."""
         if self._schedule is None:
             return ()
         drops = self._schedule.dropped_by_reason
         return (
-            gauge("link_kept_bytes", "Bytes queued now.", self._schedule.kept_bytes),
+            gauge("link_kept_bytes", "Bytes queued now.", self._schedule.queued_bytes),
             counter(
                 "link_kept", "Datagrams queued.", self._queued_by_urgency, "urgency"
             ),
@@ -91,7 +91,7 @@
         assert self._schedule is not None
         self._timer = None
         now = _now()
-        for datagram in self._schedule.due(now=now):
+        for datagram in self._schedule.pop_due(now=now):
             self._wait_seconds.observe(now - datagram.kept_at)
             datagram.socket.send(datagram.data, datagram.endpoint)
         self._log_drops(now=now)
@@ -108,7 +108,7 @@
             "link full",
             dropped=drops.total() - self._logged_drops,
             kept=len(self._schedule),
-            kept_bytes=self._schedule.kept_bytes,
+            kept_bytes=self._schedule.queued_bytes,
         )
         self._logged_at = now
         self._logged_drops = drops.total()
--- a/monsoonpier/operator/change.py
+++ b/monsoonpier/operator/change.py
@@ -11,7 +11,11 @@
 import msgspec
 
 from monsoonpier.documents.configuration import difference, parse_files
-from monsoonpier.documents.stored import Stored, decode_stored, encode_stored
+from monsoonpier.documents.stored import (
+    StoredConfiguration,
+    decode_stored,
+    encode_stored,
+)
 from monsoonpier.model.revision import NO_REVISION, Revision
 from monsoonpier.model.service import Service
 from monsoonpier.operator.conditional_write import (
@@ -42,7 +46,7 @@
 class BaseConfiguration:
     """The configuration that a change is based on, with its store revision."""
 
-    stored: Stored
+    stored: StoredConfiguration
     mod_revision: Revision = NO_REVISION
 
     @property
@@ -180,7 +184,9 @@
     found = await platform.read(CONFIGURATION)
     value = found.values_by_key.get(CONFIGURATION)
     if value is None:
-        empty = Stored(version=0, apply_id="", who="", at="", files={}, services={})
+        empty = StoredConfiguration(
+            version=0, apply_id="", who="", at="", files={}, services={}
+        )
         return BaseConfiguration(stored=empty)
     return BaseConfiguration(
         stored=decode_stored(value.value), mod_revision=value.mod_revision
@@ -202,7 +208,7 @@
 
 
 def _puts(entry: AuditEntry, services: dict[str, Service]) -> tuple[Put, ...]:
-    stored = Stored(
+    stored = StoredConfiguration(
         version=entry.version,
         apply_id=entry.apply_id,
         who=entry.who,
--- a/monsoonpier/operator/commands.py
+++ b/monsoonpier/operator/commands.py
@@ -39,7 +39,7 @@
 from monsoonpier.operator.rollout import wait_in_force
 from monsoonpier.operator.session import OperatorSession
 from monsoonpier.operator.slot_use import measure_slot_use, slot_lines
-from monsoonpier.process.control import NoAnswer
+from monsoonpier.process.control import NoResponseError
 from monsoonpier.store.interface import StoreError
 from monsoonpier.wire.control import StatusReply
 
@@ -191,7 +191,7 @@
         return Exit.BAD_INPUT
     try:
         reply = await session.drain(controls_by_name[name], name)
-    except NoAnswer as error:
+    except NoResponseError as error:
         print(f"{name}: {error}", file=sys.stderr)
         return Exit.UNAVAILABLE
     if not reply.accepted:
--- a/monsoonpier/operator/session.py
+++ b/monsoonpier/operator/session.py
@@ -4,7 +4,7 @@
 import random
 
 from monsoonpier.model.settings import Settings
-from monsoonpier.process.control import NoAnswer, ask
+from monsoonpier.process.control import NoResponseError, send_request
 from monsoonpier.store.etcd import EtcdStore
 from monsoonpier.store.interface import StoreError
 from monsoonpier.store.keys import BALANCERS
@@ -78,13 +78,13 @@
             The status; ``None`` if the process does not respond.
         """
         try:
-            reply = await ask(
+            reply = await send_request(
                 control,
                 StatusRequest(),
                 keys=self._settings.keys,
                 timeout=STATUS_TIMEOUT_SECONDS,
             )
-        except NoAnswer:
+        except NoResponseError:
             return None
         return reply if isinstance(reply, StatusReply) else None
 
@@ -98,9 +98,11 @@
         Raises:
             NoAnswer: If the process does not respond as expected.
         """
-        reply = await ask(control, DrainRequest(name=name), keys=self._settings.keys)
+        reply = await send_request(
+            control, DrainRequest(name=name), keys=self._settings.keys
+        )
         if not isinstance(reply, DrainReply):
-            raise NoAnswer(f"{control} sent an unexpected response")
+            raise NoResponseError(f"{control} sent an unexpected response")
         return reply
 
     async def newest_in_force(self) -> int:
--- a/monsoonpier/process/control.py
+++ b/monsoonpier/process/control.py
@@ -10,7 +10,7 @@
 
 from monsoonpier.model.address import Address
 from monsoonpier.model.keys import KeyRing
-from monsoonpier.process.life import ProcessLife
+from monsoonpier.process.life import ProcessLifecycle
 from monsoonpier.wire.codec import Dropped
 from monsoonpier.wire.control import (
     MAX_CONTROL_BYTES,
@@ -19,7 +19,7 @@
     DrainRequest,
 )
 
-__all__ = ["ControlServer", "NoAnswer", "answer_drain", "ask"]
+__all__ = ["ControlServer", "NoResponseError", "handle_drain", "send_request"]
 
 ASK_SECONDS = 2.0  # default timeout of a request
 HIGH_WATER_MARK = 100  # messages queued per connection
@@ -28,7 +28,7 @@
 Handler = Callable[[msgspec.Struct], Awaitable[msgspec.Struct | None]]
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """The process did not reply in time, or its reply could not be decoded."""
 
 
@@ -87,7 +87,9 @@
         self._context.term()
 
 
-def answer_drain(request: DrainRequest, *, name: str, life: ProcessLife) -> DrainReply:
+def handle_drain(
+    request: DrainRequest, *, name: str, life: ProcessLifecycle
+) -> DrainReply:
     """Start the shutdown of this process if the request names it.
 
     Args:
@@ -103,7 +105,7 @@
     return DrainReply(accepted=True)
 
 
-async def ask(
+async def send_request(
     address: str,
     message: msgspec.Struct,
     *,
@@ -124,10 +126,10 @@
         await socket.send(codec.encode(message))
         data = await asyncio.wait_for(socket.recv(), timeout)
     except (TimeoutError, zmq.ZMQError) as error:
-        raise NoAnswer(f"{address} did not answer") from error
+        raise NoResponseError(f"{address} did not answer") from error
     finally:
         socket.close()
     reply = codec.decode(data)
     if isinstance(reply, Dropped):
-        raise NoAnswer(f"{address} sent a {reply.reason} reply")
+        raise NoResponseError(f"{address} sent a {reply.reason} reply")
     return reply
--- a/monsoonpier/process/exposition.py
+++ b/monsoonpier/process/exposition.py
@@ -20,7 +20,7 @@
     Counter,
     Gauge,
     Histogram,
-    Reading,
+    Metric,
     Series,
 )
 
@@ -29,7 +29,7 @@
 PREFIX = "monsoonpier_"
 
 
-def expose(read: Callable[[], Iterable[Reading]]) -> bytes:
+def expose(read: Callable[[], Iterable[Metric]]) -> bytes:
     """Return the current metrics in the Prometheus text format."""
     registry = CollectorRegistry()
     registry.register(_Collector(read))
@@ -39,14 +39,14 @@
 class _Collector:
     """Adapts ``read`` to the collector interface of ``prometheus_client``."""
 
-    def __init__(self, read: Callable[[], Iterable[Reading]]) -> None:
+    def __init__(self, read: Callable[[], Iterable[Metric]]) -> None:
         self._read = read
 
     def collect(self) -> Iterable[PrometheusMetric]:
         return (_to_prometheus(reading) for reading in self._read())
 
 
-def _to_prometheus(reading: Reading) -> PrometheusMetric:
+def _to_prometheus(reading: Metric) -> PrometheusMetric:
     name = PREFIX + reading.name
     match reading:
         case Gauge(help=text, value=value):
--- a/monsoonpier/process/life.py
+++ b/monsoonpier/process/life.py
@@ -10,12 +10,12 @@
 from monsoonpier.charts import load_chart
 from monsoonpier.exits import Exit
 
-__all__ = ["ProcessLife", "run_until_left"]
+__all__ = ["ProcessLifecycle", "run_until_shutdown"]
 
 _log = structlog.get_logger("monsoonpier.process.life")
 
 
-class ProcessLife:
+class ProcessLifecycle:
     """Tracks the state of a process and lets tasks wait for its shutdown."""
 
     def __init__(self) -> None:
@@ -65,7 +65,7 @@
     _log.info("settings changed", taken="at the next start")
 
 
-async def run_until_left(
+async def run_until_shutdown(
     leave: Callable[[], Awaitable[None]], jobs: Iterable[Callable[[], Awaitable[None]]]
 ) -> None:
     """Run jobs until ``leave`` returns or a job ends; then cancel the rest.
--- a/monsoonpier/process/logs.py
+++ b/monsoonpier/process/logs.py
@@ -9,7 +9,13 @@
 
 import structlog
 
-__all__ = ["DecisionLog", "LogRateLimiter", "LineWriter", "configure_logs", "flow_name"]
+__all__ = [
+    "DecisionLog",
+    "LogRateLimiter",
+    "LineWriter",
+    "configure_logs",
+    "format_flow",
+]
 
 FLOOD_LIMIT = 40  # lines per event and period
 FLOOD_PERIOD_SECONDS = 10.0
@@ -124,11 +130,11 @@
         if suppressed:
             fields["suppressed"] = suppressed
         if flow:
-            fields["flow"] = flow_name(flow)
+            fields["flow"] = format_flow(flow)
         self._log.info(event, **fields)
 
 
-def flow_name(flow: bytes) -> str:
+def format_flow(flow: bytes) -> str:
     """Format a flow key as ``caller_ip:port>service_ip:port``."""
     caller = ".".join(str(byte) for byte in flow[0:4])
     service = ".".join(str(byte) for byte in flow[4:8])
--- a/monsoonpier/process/readings.py
+++ b/monsoonpier/process/readings.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-__all__ = ["Counter", "Gauge", "Histogram", "Reading", "Series", "counter", "gauge"]
+__all__ = ["Counter", "Gauge", "Histogram", "Metric", "Series", "counter", "gauge"]
 
 # Upper bounds of histogram buckets, in seconds.
 BOUNDS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
@@ -61,7 +61,7 @@
     is_counter: bool = False
 
 
-Reading = Gauge | Counter | Histogram | Series
+Metric = Gauge | Counter | Histogram | Series
 
 
 def gauge(name: str, text: str, value: float) -> Gauge:
--- a/monsoonpier/process/web.py
+++ b/monsoonpier/process/web.py
@@ -4,7 +4,7 @@
 
 from monsoonpier.http import HttpServer, Request, Response
 from monsoonpier.model.address import Address
-from monsoonpier.process.readings import Reading
+from monsoonpier.process.readings import Metric
 
 __all__ = ["WebServer", "ready_response"]
 
@@ -18,7 +18,7 @@
         self,
         *,
         address: Address,
-        read_metrics: Callable[[], Iterable[Reading]],
+        read_metrics: Callable[[], Iterable[Metric]],
         is_ready: Callable[[], bool],
     ) -> None:
         self._read_metrics = read_metrics
--- a/standins/link_load.py
+++ b/standins/link_load.py
@@ -104,15 +104,15 @@
     while events or timer_at is not None:
         if timer_at is not None and (not events or timer_at <= events[0][0]):
             now, timer_at = timer_at, None
-            for datagram in schedule.due(now=now):
+            for datagram in schedule.pop_due(now=now):
                 transmit(datagram.data, now)
         else:
             now, _, one = heapq.heappop(events)
             sent_at_by_data.setdefault(one.data, now)
-            if schedule.admits(one.size, now=now):
+            if schedule.try_admit(one.size, now=now):
                 transmit(one.data, now)
             else:
-                schedule.keep(one.datagram)
+                schedule.enqueue(one.datagram)
         if len(schedule) and timer_at is None:
             timer_at = now + schedule.wait_seconds(now=now) + TICK_SECONDS
     return arrived, schedule
--- a/tests/link/test_schedule.py
+++ b/tests/link/test_schedule.py
@@ -156,16 +156,16 @@
         schedule = LinkSchedule(bits_per_second=2e6)
         for flow in range(1, 500):
             for one in window(flow):
-                schedule.keep(one.datagram)
-        self.assertLess(schedule.kept_bytes, MAX_WAIT_SECONDS * 2e6 / 8)
+                schedule.enqueue(one.datagram)
+        self.assertLess(schedule.queued_bytes, MAX_WAIT_SECONDS * 2e6 / 8)
 
     def test_control_alone_is_bounded_too(self) -> None:
         """Queued bytes are bounded even if all of them are control."""
         schedule = LinkSchedule(bits_per_second=2e6)
         for number in range(5_000):
             one = Sent(at=0.0, number=number, urgency=Urgency.CONTROL)
-            schedule.keep(one.datagram)
-        self.assertLess(schedule.kept_bytes, MAX_WAIT_SECONDS * 2e6 / 8)
+            schedule.enqueue(one.datagram)
+        self.assertLess(schedule.queued_bytes, MAX_WAIT_SECONDS * 2e6 / 8)
 
     def test_drops_from_longest_flow(self) -> None:
         """An overload by one flow drops no packet of another."""
@@ -196,7 +196,7 @@
         arrived, link, schedule = send_over(sent, rate=5e6)
         self.assertEqual(link.overrun, 0)
         self.assertEqual(len(arrived) + schedule.dropped_by_reason.total(), len(sent))
-        self.assertEqual((len(schedule), schedule.kept_bytes), (0, 0))
+        self.assertEqual((len(schedule), schedule.queued_bytes), (0, 0))
         for flow in range(1, 6):
             numbers = [a.number for a in arrived if a.flow == flow]
             self.assertEqual(numbers, sorted(numbers))
--- a/tests/operator/test_change.py
+++ b/tests/operator/test_change.py
@@ -4,7 +4,12 @@
 import random
 import unittest
 
-from monsoonpier.documents.stored import decode_stored, pack, unpack, unstore
+from monsoonpier.documents.stored import (
+    decode_configuration,
+    decode_stored,
+    pack,
+    unpack,
+)
 from monsoonpier.operator.change import (
     Accepted,
     Change,
@@ -55,7 +60,7 @@
         self.assertEqual((entry.version, entry.who, entry.previous), (1, "ana", 0))
         self.assertTrue(entry.difference[0].startswith("+ maps"))
         value = (await self.platform.read(CONFIGURATION)).values_by_key[CONFIGURATION]
-        self.assertEqual(unstore(value.value).version, 1)
+        self.assertEqual(decode_configuration(value.value).version, 1)
 
     async def test_two_operators(self):
         """The second of two changes is a conflict that names the first."""
@@ -139,7 +144,7 @@
         for value in (b"", b"{}", b"[1]", b'{"version": "x"}', b"\x00\xff"):
             with self.subTest(value=value):
                 with self.assertRaises(ValueError):
-                    unstore(value)
+                    decode_configuration(value)
                 with self.assertRaises(ValueError):
                     unpack(value)
 
@@ -148,9 +153,9 @@
         await self.apply(wanted("ana"))
         value = (await self.platform.read(CONFIGURATION)).values_by_key[CONFIGURATION]
         self.assertEqual(unpack(pack(value.value)), value.value)
-        own = unstore(unpack(pack(value.value, service="maps")))
+        own = decode_configuration(unpack(pack(value.value, service="maps")))
         self.assertEqual(list(own.services_by_name), ["maps"])
-        other = unstore(unpack(pack(value.value, service="logs")))
+        other = decode_configuration(unpack(pack(value.value, service="logs")))
         self.assertEqual((other.version, other.services_by_name), (1, {}))
         self.assertEqual(
             decode_stored(unpack(pack(value.value, service="x"))).files, {}
--- a/tests/process/test_logs.py
+++ b/tests/process/test_logs.py
@@ -11,7 +11,7 @@
     DecisionLog,
     LineWriter,
     LogRateLimiter,
-    flow_name,
+    format_flow,
 )
 
 
@@ -73,5 +73,5 @@
     def test_decision(self) -> None:
         """A decision's line names the flow by its addresses."""
         flow = bytes((100, 64, 0, 7, 198, 18, 0, 1)) + bytes.fromhex("9c4101bb")
-        self.assertEqual(flow_name(flow), "100.64.0.7:40001>198.18.0.1:443")
+        self.assertEqual(format_flow(flow), "100.64.0.7:40001>198.18.0.1:443")
         DecisionLog("tests").note("flow placed", now=1.0, flow=flow, target="maps-1")
