--- a/monsoonpier/caller/command.py
+++ b/monsoonpier/caller/command.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from monsoonpier.caller.client import Caller
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 from monsoonpier.model.outcome import Done, NotRun, Outcome, Refused
 
 __all__ = ["CallArguments", "run_call"]
@@ -30,7 +30,7 @@
         caller = Caller(call.address)
     except ValueError as error:
         print(f"monsoonpier: {error}", file=sys.stderr)
-        return Exit.BAD_INPUT
+        return ExitStatus.BAD_INPUT
     async with caller:
         if call.stream:
             return await _print_stream(caller, call)
@@ -46,8 +46,8 @@
         print(f"{item.number}\t{item.body.decode(errors='replace')}", flush=True)
         count += 1
         if count == call.items:
-            return Exit.OK
-    return Exit.OK
+            return ExitStatus.OK
+    return ExitStatus.OK
 
 
 def _print_outcome(outcome: Outcome) -> int:
@@ -55,13 +55,13 @@
         case Done(status=status, body=body):
             sys.stdout.buffer.write(body)
             sys.stdout.flush()
-            return Exit.OK if status < 400 else Exit.BAD_INPUT
+            return ExitStatus.OK if status < 400 else ExitStatus.BAD_INPUT
         case (
             NotRun(reason=reason, retry_after=wait)
             | Refused(reason=reason, retry_after=wait)
         ):
             print(f"not run: {reason}; retry after {wait:.2f} s", file=sys.stderr)
-            return Exit.NOT_RUN
+            return ExitStatus.NOT_RUN
         case _:
             print(f"may have run: {outcome}", file=sys.stderr)
-            return Exit.MAY_HAVE_RUN
+            return ExitStatus.MAY_HAVE_RUN
--- a/monsoonpier/cli/__init__.py
+++ b/monsoonpier/cli/__init__.py
@@ -4,7 +4,7 @@
 
 from monsoonpier.cli import operator, processes
 from monsoonpier.cli.common import CommandError, app
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 
 __all__ = ["main", "operator", "processes"]
 
@@ -18,7 +18,7 @@
         sys.exit(command_error.status)
     except OSError as error:
         print(f"monsoonpier: {error.strerror or error}", file=sys.stderr)
-        sys.exit(Exit.UNAVAILABLE)
+        sys.exit(ExitStatus.UNAVAILABLE)
     except KeyboardInterrupt:
-        sys.exit(Exit.INTERRUPTED)
-    sys.exit(status or Exit.OK)
+        sys.exit(ExitStatus.INTERRUPTED)
+    sys.exit(status or ExitStatus.OK)
--- a/monsoonpier/cli/common.py
+++ b/monsoonpier/cli/common.py
@@ -7,7 +7,7 @@
 from cyclopts import App
 
 from monsoonpier import __version__
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 
 __all__ = ["CommandError", "LogLevel", "app", "load_or_fail", "run_coroutine"]
 
@@ -23,7 +23,7 @@
 class CommandError(Exception):
     """An error to print for the user, with the exit status of the command."""
 
-    def __init__(self, message: str, status: Exit) -> None:
+    def __init__(self, message: str, status: ExitStatus) -> None:
         super().__init__(message)
         self.status = status
 
@@ -39,7 +39,7 @@
 
     loaded = load_settings(file, role=role)
     if loaded.settings is None:
-        raise CommandError(report(loaded.findings), Exit.BAD_INPUT)
+        raise CommandError(report(loaded.findings), ExitStatus.BAD_INPUT)
     return loaded
 
 
--- a/monsoonpier/cli/operator.py
+++ b/monsoonpier/cli/operator.py
@@ -12,7 +12,7 @@
     load_or_fail,
     run_coroutine,
 )
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 
 __all__ = [
     "apply",
@@ -283,9 +283,9 @@
 
     lines = select(read_lines(logs), flow=flow)
     if not lines:
-        raise CommandError(f"no line about {flow}", Exit.NOT_FOUND)
+        raise CommandError(f"no line about {flow}", ExitStatus.NOT_FOUND)
     print(format_lines(lines))
-    return Exit.OK
+    return ExitStatus.OK
 
 
 def _run_with_session(settings_file: Path, log_level: str, command) -> int:
--- a/monsoonpier/cli/processes.py
+++ b/monsoonpier/cli/processes.py
@@ -10,7 +10,7 @@
     load_or_fail,
     run_coroutine,
 )
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 
 __all__ = ["agent", "balancer", "call"]
 
@@ -102,7 +102,9 @@
         try:
             content = file.read_bytes()
         except OSError as error:
-            raise CommandError(f"{file}: {error.strerror}", Exit.BAD_INPUT) from error
+            raise CommandError(
+                f"{file}: {error.strerror}", ExitStatus.BAD_INPUT
+            ) from error
     arguments = CallArguments(
         address=address,
         kind=kind,
@@ -118,7 +120,7 @@
 
 def _print_settings(loaded) -> int:
     print(json.dumps(loaded.masked, indent=2))
-    return Exit.OK
+    return ExitStatus.OK
 
 
 def _run_process(process, settings, log_level: str) -> int:
@@ -134,6 +136,6 @@
 
     async def run() -> int:
         await process(settings=settings).run()
-        return Exit.OK
+        return ExitStatus.OK
 
     return run_coroutine(run())
--- a/monsoonpier/exits.py
+++ b/monsoonpier/exits.py
@@ -2,10 +2,10 @@
 
 from enum import IntEnum
 
-__all__ = ["Exit"]
+__all__ = ["ExitStatus"]
 
 
-class Exit(IntEnum):
+class ExitStatus(IntEnum):
     """Exit status of a command."""
 
     OK = 0
--- a/monsoonpier/operator/change.py
+++ b/monsoonpier/operator/change.py
@@ -33,10 +33,10 @@
     "Accepted",
     "AuditEntry",
     "BaseConfiguration",
-    "Change",
+    "ConfigurationChange",
     "Conflict",
     "Unknown",
-    "change",
+    "store_change",
     "read_audit",
     "read_stored",
 ]
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Change:
+class ConfigurationChange:
     """An operator's request to replace the configuration by a set of files.
 
     Attributes:
@@ -111,9 +111,9 @@
     apply_id: str
 
 
-async def change(
+async def store_change(
     platform: Store,
-    wanted: Change,
+    wanted: ConfigurationChange,
     *,
     base: BaseConfiguration,
     newest_in_force: int = 0,
--- a/monsoonpier/operator/commands.py
+++ b/monsoonpier/operator/commands.py
@@ -21,17 +21,17 @@
     parse_files,
     read_files,
 )
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 from monsoonpier.model.findings import report
 from monsoonpier.operator.caller_waits import caller_lines, summarise_callers
 from monsoonpier.operator.change import (
     Accepted,
-    Change,
+    ConfigurationChange,
     Conflict,
     Unknown,
-    change,
     read_audit,
     read_stored,
+    store_change,
 )
 from monsoonpier.operator.evacuation_commands import entry_line, evacuation_lines
 from monsoonpier.operator.evacuation_orders import read_evacuation_audit, read_orders
@@ -59,10 +59,10 @@
     """Print all errors in the files or, if there are none, their services."""
     _, parsed = _read_and_parse(paths)
     if parsed is None:
-        return Exit.BAD_INPUT
+        return ExitStatus.BAD_INPUT
     for line in difference({}, parsed.services_by_name):
         print(line.removeprefix("+ "))
-    return Exit.OK
+    return ExitStatus.OK
 
 
 async def apply_files(
@@ -71,7 +71,7 @@
     """Replace the configuration by a set of files and print the difference."""
     texts_by_name, parsed = _read_and_parse(paths)
     if parsed is None:
-        return Exit.BAD_INPUT
+        return ExitStatus.BAD_INPUT
     return await _apply_change(
         session, texts_by_name, who=who, note="apply", wait_seconds=wait_seconds
     )
@@ -87,7 +87,7 @@
         return report_unreachable(error)
     if not entries:
         print(f"there is no version {version} in the audit trail", file=sys.stderr)
-        return Exit.BAD_INPUT
+        return ExitStatus.BAD_INPUT
     texts_by_name = entries[0].files
     return await _apply_change(
         session,
@@ -102,7 +102,7 @@
     """Print what applying the files would change."""
     _, parsed = _read_and_parse(paths)
     if parsed is None:
-        return Exit.BAD_INPUT
+        return ExitStatus.BAD_INPUT
     try:
         base = await read_stored(session.platform)
     except StoreError as error:
@@ -110,7 +110,7 @@
     lines = difference(base.stored.services, parsed.services_by_name)
     print(f"against version {base.version}:")
     print("\n".join(lines) or "no difference")
-    return Exit.OK
+    return ExitStatus.OK
 
 
 async def show_history(session: OperatorSession, *, count: int) -> int:
@@ -131,7 +131,7 @@
             print(f"    {line}")
     if not entries:
         print("no changes yet")
-    return Exit.OK
+    return ExitStatus.OK
 
 
 async def show_status(
@@ -161,7 +161,7 @@
             "balancers": to_json_types(statuses),
         }
         print(json.dumps(content))
-        return Exit.OK
+        return ExitStatus.OK
     print(f"accepted configuration: version {stored.version} by {stored.who or '-'}")
     for name, status in sorted(statuses.items()):
         print(_balancer_line(name, status))
@@ -171,7 +171,7 @@
         print(line)
     for line in caller_lines(waits) + slot_lines(slots):
         print(line)
-    return Exit.OK
+    return ExitStatus.OK
 
 
 async def drain_process(session: OperatorSession, name: str) -> int:
@@ -188,17 +188,17 @@
     if name not in controls_by_name:
         known = ", ".join(sorted(controls_by_name)) or "none"
         print(f"no process is named {name!r}; known: {known}", file=sys.stderr)
-        return Exit.BAD_INPUT
+        return ExitStatus.BAD_INPUT
     try:
         reply = await session.drain(controls_by_name[name], name)
     except NoResponseError as error:
         print(f"{name}: {error}", file=sys.stderr)
-        return Exit.UNAVAILABLE
+        return ExitStatus.UNAVAILABLE
     if not reply.accepted:
         print(f"{name}: {reply.reason}", file=sys.stderr)
-        return Exit.UNAVAILABLE
+        return ExitStatus.UNAVAILABLE
     print(f"{name} is leaving")
-    return Exit.OK
+    return ExitStatus.OK
 
 
 def _read_and_parse(paths: Iterable[Path]) -> tuple[dict[str, str], ParsedFiles | None]:
@@ -221,7 +221,7 @@
     wait_seconds: float,
 ) -> int:
     """Store a configuration, print the outcome and wait if asked to."""
-    wanted = Change(
+    wanted = ConfigurationChange(
         apply_id=uuid.uuid4().hex,
         who=who or getpass.getuser(),
         at=datetime.now(UTC).isoformat(timespec="seconds"),
@@ -232,7 +232,7 @@
         base = await read_stored(session.platform)
     except StoreError as error:
         return report_unreachable(error)
-    outcome = await change(
+    outcome = await store_change(
         session.platform,
         wanted,
         base=base,
@@ -249,7 +249,7 @@
                     lambda status: status.version >= version,
                     seconds=wait_seconds,
                 )
-            return Exit.OK
+            return ExitStatus.OK
         case Conflict(by=by):
             print(
                 f"conflict: {by.stored.who} applied version {by.version} at "
@@ -257,14 +257,14 @@
                 "of yours was applied. Run `diff`, then apply again.",
                 file=sys.stderr,
             )
-            return Exit.CONFLICT
+            return ExitStatus.CONFLICT
         case Unknown(reason=reason, apply_id=apply_id):
             print(
                 f"unknown: the platform can't tell whether it was accepted ({reason}). "
                 f"Look for id {apply_id} in `history` when it is back.",
                 file=sys.stderr,
             )
-            return Exit.UNKNOWN
+            return ExitStatus.UNKNOWN
 
 
 def to_json_types(value):
--- a/monsoonpier/operator/evacuation_commands.py
+++ b/monsoonpier/operator/evacuation_commands.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from datetime import UTC, datetime
 
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 from monsoonpier.operator.conditional_write import (
     PreconditionFailed,
     Unresolved,
@@ -67,13 +67,13 @@
         return report_unreachable(error)
     if data_centre in orders:
         print(_already_evacuated(orders[data_centre]), file=sys.stderr)
-        return Exit.CONFLICT
+        return ExitStatus.CONFLICT
     targets = [t for status in statuses.values() if status for t in status.targets]
     obstacles = find_obstacles(data_centre, targets, evacuated=orders)
     if obstacles and not force:
         print("\n".join(obstacles), file=sys.stderr)
         print("nothing was changed; use --force to evacuate it anyway", file=sys.stderr)
-        return Exit.BAD_INPUT
+        return ExitStatus.BAD_INPUT
     order = _new_order(data_centre, who=who)
     outcome = await store_order(session.platform, order, draw=session.draw)
     return await _report_outcome(
@@ -92,7 +92,7 @@
     if data_centre not in orders:
         known = ", ".join(sorted(orders)) or "none"
         print(f"{data_centre} isn't evacuated; evacuated: {known}", file=sys.stderr)
-        return Exit.BAD_INPUT
+        return ExitStatus.BAD_INPUT
     order = _new_order(data_centre, who=who)
     outcome = await remove_order(
         session.platform, order, stored=orders[data_centre], draw=session.draw
@@ -158,18 +158,18 @@
                     lambda status: (order.data_centre in status.evacuated) == is_active,
                     seconds=seconds,
                 )
-            return Exit.OK
+            return ExitStatus.OK
         case PreconditionFailed():
             print(
                 f"conflict: another order on {order.data_centre} came first; nothing "
                 "was changed. Run `status`.",
                 file=sys.stderr,
             )
-            return Exit.CONFLICT
+            return ExitStatus.CONFLICT
         case Unresolved(reason=reason):
             print(
                 f"unknown: the platform can't tell whether it was accepted ({reason}). "
                 f"Look for {order.data_centre} in `status` when it is back.",
                 file=sys.stderr,
             )
-            return Exit.UNKNOWN
+            return ExitStatus.UNKNOWN
--- a/monsoonpier/operator/reports.py
+++ b/monsoonpier/operator/reports.py
@@ -3,7 +3,7 @@
 import sys
 from collections.abc import Iterable
 
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 from monsoonpier.store.interface import StoreError
 from monsoonpier.wire.control import StatusReply, TargetStatus
 
@@ -26,4 +26,4 @@
 def report_unreachable(error: StoreError) -> int:
     """Print that the platform can't be reached, and return the exit status."""
     print(f"the platform can't be reached: {error}", file=sys.stderr)
-    return Exit.UNAVAILABLE
+    return ExitStatus.UNAVAILABLE
--- a/monsoonpier/operator/rollout.py
+++ b/monsoonpier/operator/rollout.py
@@ -5,7 +5,7 @@
 import time
 from collections.abc import Callable
 
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 from monsoonpier.operator.reports import report_unreachable
 from monsoonpier.operator.session import OperatorSession
 from monsoonpier.store.interface import StoreError
@@ -47,7 +47,7 @@
         elapsed = time.monotonic() - start
         if not lagging:
             print(f"in force on {len(statuses)} balancers after {elapsed:.2f} s")
-            return Exit.OK
+            return ExitStatus.OK
         if elapsed >= seconds:
             updated = len(statuses) - len(lagging)
             print(
@@ -55,5 +55,5 @@
                 f"lagging: {', '.join(lagging)}",
                 file=sys.stderr,
             )
-            return Exit.LAGGING
+            return ExitStatus.LAGGING
         await asyncio.sleep(POLL_SECONDS)
--- a/monsoonpier/platform/daemons.py
+++ b/monsoonpier/platform/daemons.py
@@ -8,7 +8,7 @@
 import structlog
 import uvloop
 
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 from monsoonpier.http import HttpServer, Request, Response
 from monsoonpier.platform.packets import PlatformPackets
 from monsoonpier.platform.settings import PlatformSettings, load_platform_settings
@@ -28,12 +28,12 @@
     role = arguments[0] if arguments else ""
     if len(arguments) != 1 or role not in runs_by_role:
         print("usage: python3 -m monsoonpier.platform balancer|agent", file=sys.stderr)
-        return Exit.BAD_INPUT
+        return ExitStatus.BAD_INPUT
     try:
         settings = load_platform_settings(role=role)
     except ValueError as error:
         print(f"monsoonpier: {error}", file=sys.stderr)
-        return Exit.BAD_INPUT
+        return ExitStatus.BAD_INPUT
     common = settings.common
     gc.freeze()  # Imported objects live as long as the process.
     gc.enable()  # The entry point disabled it during imports.
@@ -43,8 +43,8 @@
             runner.run(runs_by_role[role](settings))
     except OSError as error:
         _log.error("startup failed", reason=str(error))
-        return Exit.UNAVAILABLE
-    return Exit.OK
+        return ExitStatus.UNAVAILABLE
+    return ExitStatus.OK
 
 
 async def _run_balancer(settings: PlatformSettings) -> None:
--- a/monsoonpier/process/life.py
+++ b/monsoonpier/process/life.py
@@ -8,7 +8,7 @@
 import structlog
 
 from monsoonpier.charts import load_chart
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 
 __all__ = ["ProcessLifecycle", "run_until_shutdown"]
 
@@ -58,7 +58,7 @@
     def _terminate(self) -> None:
         self.step("terminate")
         if self._state == "stopped":
-            os._exit(Exit.INTERRUPTED)
+            os._exit(ExitStatus.INTERRUPTED)
 
 
 def _log_changed_settings() -> None:
--- a/tests/operator/test_caller_waits.py
+++ b/tests/operator/test_caller_waits.py
@@ -5,7 +5,7 @@
 import json
 import unittest
 
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 from monsoonpier.model.target import LoadReport
 from monsoonpier.model.waiting_summary import LatelySeen, WaitingSummary
 from monsoonpier.operator.caller_waits import (
@@ -165,7 +165,7 @@
             status("b2", "dc-2", waiting(served=150, wait=0.1)),
         )
         with contextlib.redirect_stdout(out):
-            self.assertEqual(await show_status(session, as_json=as_json), Exit.OK)
+            self.assertEqual(await show_status(session, as_json=as_json), ExitStatus.OK)
         return out.getvalue()
 
     async def test_one_waits_far_longer(self) -> None:
--- a/tests/operator/test_change.py
+++ b/tests/operator/test_change.py
@@ -12,12 +12,12 @@
 )
 from monsoonpier.operator.change import (
     Accepted,
-    Change,
+    ConfigurationChange,
     Conflict,
     Unknown,
-    change,
     read_audit,
     read_stored,
+    store_change,
 )
 from monsoonpier.store.interface import StoreError
 from monsoonpier.store.keys import CONFIGURATION
@@ -30,9 +30,9 @@
 RACES = 50
 
 
-def wanted(who: str, port: int = 7001) -> Change:
+def wanted(who: str, port: int = 7001) -> ConfigurationChange:
     """Return a change by an operator."""
-    return Change(
+    return ConfigurationChange(
         apply_id=f"{who}-{port}",
         who=who,
         at="2026-01-01T20:00:00+00:00",
@@ -47,10 +47,12 @@
         self.platform = FakeStore()
         self.draw = random.Random(1)
 
-    async def apply(self, what: Change, *, base=None, **options):
+    async def apply(self, what: ConfigurationChange, *, base=None, **options):
         """Apply a change based on the stored configuration."""
         base = base or await read_stored(self.platform)
-        return await change(self.platform, what, base=base, draw=self.draw, **options)
+        return await store_change(
+            self.platform, what, base=base, draw=self.draw, **options
+        )
 
     async def test_accepted_with_audit_entry(self):
         """An accepted change is stored with its audit entry."""
--- a/tests/operator/test_evacuate.py
+++ b/tests/operator/test_evacuate.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 from monsoonpier.model.target import Condition, LoadReport
 from monsoonpier.operator.conditional_write import PreconditionFailed, Written
 from monsoonpier.operator.evacuation_commands import (
@@ -225,41 +225,42 @@
 
     async def test_there_and_back(self):
         """Both commands wait until their order is in force everywhere."""
-        self.assertEqual(await self.evacuate("dc-1"), Exit.OK)
+        self.assertEqual(await self.evacuate("dc-1"), ExitStatus.OK)
         self.assertEqual(
-            await readmit(self.session, "dc-1", who="ana", wait_seconds=0.2), Exit.OK
+            await readmit(self.session, "dc-1", who="ana", wait_seconds=0.2),
+            ExitStatus.OK,
         )
         self.assertEqual(self.out.getvalue().count("in force on 2 balancers"), 2)
         self.assertEqual(await read_orders(self.session.platform), {})
 
     async def test_refused(self):
         """Unknown, last and already evacuated data centres are rejected."""
-        self.assertEqual(await self.evacuate("dc-9"), Exit.BAD_INPUT)
+        self.assertEqual(await self.evacuate("dc-9"), ExitStatus.BAD_INPUT)
         await self.evacuate("dc-1")
-        self.assertEqual(await self.evacuate("dc-1"), Exit.CONFLICT)
-        self.assertEqual(await self.evacuate("dc-2"), Exit.BAD_INPUT)
+        self.assertEqual(await self.evacuate("dc-1"), ExitStatus.CONFLICT)
+        self.assertEqual(await self.evacuate("dc-2"), ExitStatus.BAD_INPUT)
         self.assertIn("last data centre that serves 'maps'", self.err.getvalue())
         self.assertEqual(set(await read_orders(self.session.platform)), {"dc-1"})
 
     async def test_forced(self):
         """The last serving data centre is evacuated with ``--force``."""
         await self.evacuate("dc-1")
-        self.assertEqual(await self.evacuate("dc-2", force=True), Exit.OK)
+        self.assertEqual(await self.evacuate("dc-2", force=True), ExitStatus.OK)
 
     async def test_not_evacuated(self):
         """Readmitting what isn't evacuated lists the evacuated ones."""
         await self.evacuate("dc-1")
         status = await readmit(self.session, "dc-2", who="ana", wait_seconds=0.0)
-        self.assertEqual(status, Exit.BAD_INPUT)
+        self.assertEqual(status, ExitStatus.BAD_INPUT)
         self.assertIn("evacuated: dc-1", self.err.getvalue())
 
     async def test_lagging(self):
         """A balancer that doesn't follow an order in time is named."""
         self.session.lagging = frozenset({"b2"})
-        self.assertEqual(await self.evacuate("dc-1"), Exit.LAGGING)
+        self.assertEqual(await self.evacuate("dc-1"), ExitStatus.LAGGING)
         self.assertIn("b2", self.err.getvalue())
 
     async def test_platform_unreachable(self):
         """A command fails if the platform is unreachable."""
         self.session.platform.is_down = True
-        self.assertEqual(await self.evacuate("dc-1"), Exit.UNAVAILABLE)
+        self.assertEqual(await self.evacuate("dc-1"), ExitStatus.UNAVAILABLE)
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -20,7 +20,7 @@
     TargetHeartbeat,
     TargetInstance,
 )
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 from monsoonpier.http import Request
 from monsoonpier.model.address import Address
 from monsoonpier.platform import __main__ as platform_main
@@ -372,5 +372,5 @@
             mock.patch.object(sys, "argv", ["platform"]),
             contextlib.redirect_stderr(io.StringIO()),
         ):
-            self.assertEqual(platform_main._run(), Exit.BAD_INPUT)
+            self.assertEqual(platform_main._run(), ExitStatus.BAD_INPUT)
         self.assertIs(signal.getsignal(signal.SIGHUP), signal.SIG_IGN)
--- a/tests/process/test_failures.py
+++ b/tests/process/test_failures.py
@@ -7,8 +7,13 @@
 import unittest
 
 from monsoonpier.caller import Caller, Done, FlowLost, Late, Unknown
-from monsoonpier.exits import Exit
-from monsoonpier.operator.change import Change, change, read_audit, read_stored
+from monsoonpier.exits import ExitStatus
+from monsoonpier.operator.change import (
+    ConfigurationChange,
+    read_audit,
+    read_stored,
+    store_change,
+)
 from monsoonpier.store.etcd import EtcdStore
 from standins.deployment import Deployment
 from standins.load import Load, judge
@@ -35,7 +40,7 @@
         status, out, err = await deployment.operate(
             "apply", str(deployment.write_services()), "--wait"
         )
-        self.assertEqual(status, Exit.OK, out + err)
+        self.assertEqual(status, ExitStatus.OK, out + err)
         await deployment.wait_ready(*(name for name, _ in names))
         await deployment.wait_ready(*(f"b{n}" for n in range(1, balancers + 1)))
         return deployment
@@ -165,7 +170,7 @@
         load.start(streams=10, readers=8, uploaders=0)
         await asyncio.sleep(1.0)
         status, out, err = await deployment.operate("drain", "maps-1")
-        self.assertEqual(status, Exit.OK, out + err)
+        self.assertEqual(status, ExitStatus.OK, out + err)
         drained_at = time.time()
         self.assertEqual(await deployment.nodes_by_name["maps-1"].wait(), 0)
         await asyncio.sleep(1.0)
@@ -187,7 +192,7 @@
         deployment = await self._start("127.83.7")
         folder = str(deployment.write_services(queue_per_slot=5))
         status, _, err = await deployment.operate("apply", folder, "--wait")
-        self.assertEqual(status, Exit.OK, err)
+        self.assertEqual(status, ExitStatus.OK, err)
         await deployment.nodes_by_name["platform"].stop()
         load = self._load(deployment)
         load.start(streams=5, readers=4, uploaders=0)
@@ -198,7 +203,7 @@
         self.assertEqual(await deployment.retire_balancer("b1"), 0)
         self.assertEqual(await deployment.retire_pair("maps-1"), 0)
         status, _, err = await deployment.operate("apply", folder)
-        self.assertEqual(status, Exit.UNAVAILABLE)
+        self.assertEqual(status, ExitStatus.UNAVAILABLE)
         self.assertNotIn("Traceback", err)
         # The restored platform is empty, so its revisions start again.
         await deployment.start_platform()
@@ -209,7 +214,7 @@
                 break
             await asyncio.sleep(0.2)
         status, out, err = await deployment.operate("apply", folder, "--wait")
-        self.assertEqual(status, Exit.OK, out + err)
+        self.assertEqual(status, ExitStatus.OK, out + err)
         self.assertIn("accepted as version 3", out)
         await self._finish(load, deployment)
 
@@ -231,12 +236,14 @@
         folder = str(deployment.write_services())
         await deployment.fault(deployment.platform_url, lose_answers=1)
         status, out, err = await deployment.operate("apply", folder)
-        self.assertEqual(status, Exit.OK, err)
+        self.assertEqual(status, ExitStatus.OK, err)
         self.assertIn("accepted as version 1", out)
         results = await asyncio.gather(
             deployment.operate("apply", folder), deployment.operate("apply", folder)
         )
-        self.assertLessEqual({r[0] for r in results}, {Exit.OK, Exit.CONFLICT})
+        self.assertLessEqual(
+            {r[0] for r in results}, {ExitStatus.OK, ExitStatus.CONFLICT}
+        )
         operators = [
             EtcdStore(addresses=(deployment.platform_url,), draw=random.Random(n))
             for n in (1, 2)
@@ -248,9 +255,9 @@
                 await deployment.fault(deployment.platform_url, lose_answers=1)
             outcomes = await asyncio.gather(
                 *(
-                    change(
+                    store_change(
                         operator,
-                        Change(
+                        ConfigurationChange(
                             apply_id=f"{number} {who}",
                             who=who,
                             at="",
@@ -279,13 +286,17 @@
         bad = deployment.folder / "bad.yaml"
         bad.write_text("services: [\n")
         table = (
-            (("check", str(bad)), Exit.BAD_INPUT, "bad.yaml:2:1: not YAML"),
-            (("check", "/nowhere.yaml"), Exit.BAD_INPUT, "No such file"),
-            (("apply", str(bad)), Exit.BAD_INPUT, "not YAML"),
-            (("history",), Exit.UNAVAILABLE, "the platform can't be reached"),
-            (("status",), Exit.UNAVAILABLE, "the platform can't be reached"),
-            (("drain", "x"), Exit.UNAVAILABLE, "the platform can't be reached"),
-            (("rollback", "3"), Exit.UNAVAILABLE, "the platform can't be reached"),
+            (("check", str(bad)), ExitStatus.BAD_INPUT, "bad.yaml:2:1: not YAML"),
+            (("check", "/nowhere.yaml"), ExitStatus.BAD_INPUT, "No such file"),
+            (("apply", str(bad)), ExitStatus.BAD_INPUT, "not YAML"),
+            (("history",), ExitStatus.UNAVAILABLE, "the platform can't be reached"),
+            (("status",), ExitStatus.UNAVAILABLE, "the platform can't be reached"),
+            (("drain", "x"), ExitStatus.UNAVAILABLE, "the platform can't be reached"),
+            (
+                ("rollback", "3"),
+                ExitStatus.UNAVAILABLE,
+                "the platform can't be reached",
+            ),
         )
         for arguments, expected, text in table:
             with self.subTest(arguments=arguments):
@@ -313,7 +324,7 @@
         node = await deployment._spawn(
             "second", "", "-m", "monsoonpier", "balancer", str(settings)
         )
-        self.assertEqual(await node.wait(), Exit.UNAVAILABLE)
+        self.assertEqual(await node.wait(), ExitStatus.UNAVAILABLE)
         text = node.log.read_text()
         self.assertIn("ddress already in use", text)
         self.assertNotIn("Traceback", text)
@@ -331,6 +342,6 @@
             await asyncio.sleep(0.5)
             self.assertIsNone(node.process.returncode)
             node.signal(signal.SIGTERM)
-            self.assertEqual(await node.wait(5.0), Exit.INTERRUPTED)
+            self.assertEqual(await node.wait(5.0), ExitStatus.INTERRUPTED)
             asking.cancel()
             await asyncio.gather(asking, return_exceptions=True)
