--- a/bench/demo.py
+++ b/bench/demo.py
@@ -17,7 +17,7 @@
 
 from bench.packet_demo import run_packet_demo
 from standins.deployment import Deployment
-from standins.load import Load, LoadResult, judge
+from standins.load import Load, LoadResult, evaluate
 
 MAPS = 7
 LOGS = 3
@@ -159,7 +159,7 @@
         await asyncio.sleep(SETTLE_SECONDS)
         _print_progress("callers finish")
         await load.stop()
-        result = judge(load, deployment.runs())
+        result = evaluate(load, deployment.runs())
         for error in load.errors[:10]:
             _print_progress(f"error: {error}")
         for text, count in load.troubles().most_common(10):
--- a/bench/link_use.py
+++ b/bench/link_use.py
@@ -6,7 +6,7 @@
 from monsoonpier.link.schedule import Urgency
 from monsoonpier.link.sender import LinkSender
 from standins.link import Link
-from standins.link_load import Sent, play, send_unscheduled, window
+from standins.link_load import SentDatagram, send_unscheduled, simulate, window
 
 __all__ = ["link_use"]
 
@@ -28,14 +28,16 @@
     rate = megabits * 1e6
     sent = [one for flow in range(1, CALLERS + 1) for one in window(flow)]
     sent += [
-        Sent(at=n * SMALL_EVERY_SECONDS, size=SMALL_BYTES, flow=1_000 + n, number=n)
+        SentDatagram(
+            at=n * SMALL_EVERY_SECONDS, size=SMALL_BYTES, flow=1_000 + n, number=n
+        )
         for n in range(50)
     ]
     sent.sort(key=lambda one: one.at)
     unscheduled_link = Link(bits_per_second=rate)
     unscheduled = send_unscheduled(sent, unscheduled_link)
     link = Link(bits_per_second=rate)
-    arrived, schedule = play(sent, link=link)
+    arrived, schedule = simulate(sent, link=link)
     small = sorted(a.waited for a in arrived if a.size == SMALL_BYTES)
     on_empty_link = 8 * (SMALL_BYTES + 28) / rate
     busy_until = max(a.at for a in arrived)
@@ -46,7 +48,7 @@
         "sent": len(sent),
         "arrived_unscheduled": unscheduled,
         "arrived": len(arrived),
-        "lost_on_the_link": link.overrun,
+        "lost_on_the_link": link.queue_drops,
         "dropped_before": schedule.dropped_by_reason.total(),
         "share_of_the_link": round(8 * link.carried_bytes / rate / busy_until, 3),
         "small_longest_ms_above_empty": round(1000 * (small[-1] - on_empty_link), 2),
--- a/bench/running.py
+++ b/bench/running.py
@@ -10,7 +10,7 @@
 
 from monsoonpier.caller import Caller, Done, NotRun, Refused, RetryBudget
 from standins.deployment import Deployment
-from standins.load import Load, judge
+from standins.load import Load, evaluate
 
 __all__ = ["ALL"]
 
@@ -151,7 +151,7 @@
         await asyncio.sleep(4.0)
         yield _longest_gap("balancer killed", load)
         await load.stop()
-        result = judge(load, deployment.runs())
+        result = evaluate(load, deployment.runs())
         yield {
             "figure": "leaving_target",
             "last_new_work_seconds": round(max(late), 2),
--- a/standins/link.py
+++ b/standins/link.py
@@ -26,14 +26,14 @@
     delay_seconds: float = 0.0
     loss_share: float = 0.0
     draw: random.Random = field(default_factory=lambda: random.Random(1))
-    overrun: int = 0  # datagrams dropped because the queue was full
+    queue_drops: int = 0  # datagrams dropped because the queue was full
     carried_bytes: int = 0  # including headers
     _free_at: float = 0.0
 
     def arrival(self, size: int, *, now: float) -> float | None:
         """Return the arrival time of a datagram of ``size`` bytes; ``None`` if lost."""
         if self._free_at - now > self.queue_seconds:
-            self.overrun += 1
+            self.queue_drops += 1
             return None
         self.carried_bytes += size + HEADER_BYTES
         seconds = 8 * (size + HEADER_BYTES) / self.bits_per_second
--- a/standins/link_load.py
+++ b/standins/link_load.py
@@ -6,7 +6,7 @@
 from monsoonpier.link.schedule import Datagram, LinkSchedule, Urgency
 from standins.link import Link
 
-__all__ = ["ReceivedDatagram", "Sent", "play", "send_unscheduled", "window"]
+__all__ = ["ReceivedDatagram", "SentDatagram", "simulate", "send_unscheduled", "window"]
 
 ENDPOINT = ("10.2.0.1", 7720)
 WINDOW = 16  # packets that a caller sends before it waits for an acknowledgement
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Sent:
+class SentDatagram:
     """A datagram and when it is sent."""
 
     at: float
@@ -58,7 +58,7 @@
     waited: float
 
 
-def window(flow: int = 1, *, at: float = 0.0, first: int = 0) -> list[Sent]:
+def window(flow: int = 1, *, at: float = 0.0, first: int = 0) -> list[SentDatagram]:
     """Return a window of packets sent within two milliseconds.
 
     Args:
@@ -68,17 +68,18 @@
     """
     seconds = 0.002 / WINDOW
     return [
-        Sent(at=at + n * seconds, flow=flow, number=first + n) for n in range(WINDOW)
+        SentDatagram(at=at + n * seconds, flow=flow, number=first + n)
+        for n in range(WINDOW)
     ]
 
 
-def send_unscheduled(sent: list[Sent], link: Link) -> int:
+def send_unscheduled(sent: list[SentDatagram], link: Link) -> int:
     """Send over a link without a schedule; return how many arrive."""
     return sum(link.arrival(one.size, now=one.at) is not None for one in sent)
 
 
-def play(
-    sent: list[Sent], *, link: Link
+def simulate(
+    sent: list[SentDatagram], *, link: Link
 ) -> tuple[list[ReceivedDatagram], LinkSchedule]:
     """Send over a link with a schedule; return the datagrams received and the schedule.
 
--- a/standins/load.py
+++ b/standins/load.py
@@ -14,7 +14,7 @@
     RetryBudget,
 )
 
-__all__ = ["LoadResult", "Load", "judge"]
+__all__ = ["LoadResult", "Load", "evaluate"]
 
 FINISH_SECONDS = 30.0  # longer than any deadline set here
 
@@ -213,7 +213,7 @@
             self.counts += caller.counts
 
 
-def judge(load: Load, runs: list[dict]) -> LoadResult:
+def evaluate(load: Load, runs: list[dict]) -> LoadResult:
     """Compare the outcomes that callers saw with the runs of targets."""
     times_by_tag = Counter(run["tag"] for run in runs)
     not_idempotent = {r.tag for r in load.requests if not r.idempotent}
--- a/standins/packets/simulation.py
+++ b/standins/packets/simulation.py
@@ -389,7 +389,7 @@
         is_served = seconds <= self.world.timeout_seconds
         return self.world.late_score if is_served else 0.0
 
-    def late_by_data_centre(self) -> list[float]:
+    def late_share_by_data_centre(self) -> list[float]:
         """Return the share of late or failed requests of each data centre's callers."""
         counted = [r for r in self._requests if r.first_attempt_at >= WARM_SECONDS]
         by_data_centre = [
@@ -403,7 +403,7 @@
         sent = [r for r in self._requests if since <= r.first_attempt_at < until]
         return sum(self._score(r) == 1.0 for r in sent) / len(sent)
 
-    def worth_between(self, since: float, until: float) -> float:
+    def score_between(self, since: float, until: float) -> float:
         """Return the mean score of requests sent in a period, from 0 to 1."""
         sent = [r for r in self._requests if since <= r.first_attempt_at < until]
         return sum(map(self._score, sent)) / len(sent)
--- a/standins/store.py
+++ b/standins/store.py
@@ -51,7 +51,7 @@
         """The current revision."""
         return Revision(generation=self.generation, number=self.number)
 
-    def copy(self) -> StoreBackup:
+    def backup(self) -> StoreBackup:
         """Return a backup of the store."""
         return deepcopy(
             StoreBackup(
--- a/tests/balancer/test_store_restore.py
+++ b/tests/balancer/test_store_restore.py
@@ -104,7 +104,7 @@
 
     async def test_registered_again(self):
         """The balancer registers again when an answer reveals the restore."""
-        backup = self.store.copy()
+        backup = self.store.backup()
         async with self._running(self.link.registration.run()):
             await self._wait_registered()
             await self.link._read()
@@ -116,7 +116,7 @@
 
     async def test_registered_again_after_gossip(self):
         """The balancer registers again when a peer reports the restore."""
-        backup = self.store.copy()
+        backup = self.store.backup()
         async with self._running(self.link.registration.run()):
             await self._wait_registered()
             self.store.restore(backup)
@@ -127,7 +127,7 @@
 
     async def test_reused_lease_id(self):
         """A lease of a lost generation, whose id was reused, is left alone."""
-        backup = self.store.copy()
+        backup = self.store.backup()
         await self.link.registration.renew_or_register()
         self.store.restore(backup)
         other = await self.platform.grant(ttl_seconds=LEASE_TTL_SECONDS)
@@ -151,7 +151,7 @@
 
         async def grant_then_restore(*, ttl_seconds):
             lease = await grant(ttl_seconds=ttl_seconds)
-            backup = self.store.copy()
+            backup = self.store.backup()
             self.store.restore(backup)
             return lease
 
@@ -164,7 +164,7 @@
 
     async def test_order_missing_in_the_backup(self):
         """A lost order stays in force until it is written again and deleted."""
-        backup = self.store.copy()
+        backup = self.store.backup()
         for _ in range(5):
             await self._order()
         await self.link._read()
@@ -181,7 +181,7 @@
 
     async def test_order_that_is_not_written_again(self) -> None:
         """A lost order that isn't written again ends after `RESTATE_SECONDS`."""
-        backup = self.store.copy()
+        backup = self.store.backup()
         await self._order()
         with mock.patch.object(store_link, "WATCH_CHECK_SECONDS", 0.02):
             async with self._running(self.link._watch_or_poll_forever()):
@@ -195,7 +195,7 @@
 
     async def test_lost_copy(self):
         """A lost copy of the configuration is written again; a newer one is kept."""
-        empty_backup = self.store.copy()
+        empty_backup = self.store.backup()
         newer = ConfigurationCopy(version=7, packed=b"n")
         await self.copies.write(newer)
         await self.link._read()
@@ -211,7 +211,7 @@
 
     async def test_copy_written_during_a_restore(self) -> None:
         """The delayed answer to a write doesn't hide that its copy is lost."""
-        empty_backup, transact = self.store.copy(), self.platform.transact
+        empty_backup, transact = self.store.backup(), self.platform.transact
 
         async def written_then_lost(**write):
             result = await transact(**write)
--- a/tests/link/test_schedule.py
+++ b/tests/link/test_schedule.py
@@ -14,9 +14,9 @@
 from standins.link_load import (
     PACKET_BYTES,
     WINDOW,
-    Sent,
-    play,
+    SentDatagram,
     send_unscheduled,
+    simulate,
     window,
 )
 
@@ -28,10 +28,10 @@
     return sorted(values)[min(len(values) - 1, int(share * len(values)))]
 
 
-def send_over(sent: list[Sent], *, rate: float):
+def send_over(sent: list[SentDatagram], *, rate: float):
     """Return the datagrams that arrive over a link, the link and the schedule."""
     link = Link(bits_per_second=rate)
-    arrived, schedule = play(sent, link=link)
+    arrived, schedule = simulate(sent, link=link)
     return arrived, link, schedule
 
 
@@ -49,7 +49,7 @@
             with self.subTest(rate=rate):
                 arrived, link, _ = send_over(window(), rate=rate)
                 self.assertEqual([a.number for a in arrived], list(range(WINDOW)))
-                self.assertEqual(link.overrun, 0)
+                self.assertEqual(link.queue_drops, 0)
                 least = 8 * WINDOW * (PACKET_BYTES + 28) / rate
                 self.assertLess(arrived[-1].at, 1.06 * least + 0.006)
 
@@ -66,11 +66,11 @@
 
     SECONDS = 2.0
 
-    def load(self, rate: float, *, share: float, seed: int = 3) -> list[Sent]:
+    def load(self, rate: float, *, share: float, seed: int = 3) -> list[SentDatagram]:
         """Return windows that take ``share`` of the link's rate, and small packets."""
         draw = random.Random(seed)
         count = int(share * rate * self.SECONDS / 8 / (WINDOW * PACKET_BYTES))
-        sent: list[Sent] = []
+        sent: list[SentDatagram] = []
         for number in range(max(1, min(count, 4_000))):
             at = draw.uniform(0, self.SECONDS)
             flow = 1 + number % 200
@@ -78,7 +78,9 @@
         small = min(2_000, int(0.05 * rate * self.SECONDS / 8 / SMALL))
         for number in range(small):
             at = draw.uniform(0, self.SECONDS)
-            sent.append(Sent(at=at, size=SMALL, flow=1_000 + number, number=number))
+            sent.append(
+                SentDatagram(at=at, size=SMALL, flow=1_000 + number, number=number)
+            )
         return sorted(sent, key=lambda one: one.at)
 
     def test_small_packets_go_first(self) -> None:
@@ -98,7 +100,7 @@
         for rate in RATES[:-1]:
             with self.subTest(rate=rate):
                 arrived, link, _ = send_over(self.load(rate, share=2.0), rate=rate)
-                self.assertEqual(link.overrun, 0)
+                self.assertEqual(link.queue_drops, 0)
                 seconds = max(a.at for a in arrived)
                 used = 8 * link.carried_bytes / rate / seconds
                 self.assertGreater(used, 0.9)
@@ -108,7 +110,7 @@
         sent = [one for flow in range(1, 201) for one in window(flow)]
         arrived, link, _ = send_over(sorted(sent, key=lambda s: s.at), rate=1e9)
         self.assertEqual(len(arrived), 200 * WINDOW)
-        self.assertEqual(link.overrun, 0)
+        self.assertEqual(link.queue_drops, 0)
         self.assertLess(max(a.at for a in arrived), 0.036)
 
     def test_uploads_share_the_link(self) -> None:
@@ -122,7 +124,7 @@
     def test_uploads_progress_beside_small_packets(self) -> None:
         """Large packets make progress when small ones would fill the link."""
         small = [
-            Sent(at=n * 0.0004, size=SMALL, flow=1_000 + n, number=n)
+            SentDatagram(at=n * 0.0004, size=SMALL, flow=1_000 + n, number=n)
             for n in range(3_000)
         ]
         sent = sorted(small + window(1, at=0.01), key=lambda one: one.at)
@@ -136,7 +138,7 @@
     def test_control_is_kept(self) -> None:
         """Heartbeats arrive without delay while flows' packets are dropped."""
         heartbeats = [
-            Sent(at=n * 0.1, size=90, number=n, urgency=Urgency.CONTROL)
+            SentDatagram(at=n * 0.1, size=90, number=n, urgency=Urgency.CONTROL)
             for n in range(20)
         ]
         uploads = [
@@ -163,14 +165,14 @@
         """Queued bytes are bounded even if all of them are control."""
         schedule = LinkSchedule(bits_per_second=2e6)
         for number in range(5_000):
-            one = Sent(at=0.0, number=number, urgency=Urgency.CONTROL)
+            one = SentDatagram(at=0.0, number=number, urgency=Urgency.CONTROL)
             schedule.enqueue(one.datagram)
         self.assertLess(schedule.queued_bytes, MAX_WAIT_SECONDS * 2e6 / 8)
 
     def test_drops_from_longest_flow(self) -> None:
         """An overload by one flow drops no packet of another."""
         flood = [one for n in range(20) for one in window(1, first=n * WINDOW)]
-        sent = flood + [Sent(at=0.003, flow=2, number=1)]
+        sent = flood + [SentDatagram(at=0.003, flow=2, number=1)]
         arrived, _, schedule = send_over(sent, rate=2e6)
         self.assertGreater(schedule.dropped_by_reason["link full"], 100)
         self.assertEqual(sum(a.flow == 2 for a in arrived), 1)
@@ -181,7 +183,7 @@
 
     def test_small_end_of_an_upload(self) -> None:
         """A small last packet waits behind the flow's large ones."""
-        sent = [*window(1), Sent(at=0.002, size=SMALL, flow=1, number=WINDOW)]
+        sent = [*window(1), SentDatagram(at=0.002, size=SMALL, flow=1, number=WINDOW)]
         arrived, _, _ = send_over(sent, rate=2e6)
         self.assertEqual([a.number for a in arrived], list(range(WINDOW + 1)))
 
@@ -190,11 +192,11 @@
     def test_any_mix(self, sizes: list[tuple[int, int]]) -> None:
         """Any burst keeps the order within each flow and loses nothing on the link."""
         sent = [
-            Sent(at=0.0, size=size, flow=flow, number=number)
+            SentDatagram(at=0.0, size=size, flow=flow, number=number)
             for number, (flow, size) in enumerate(sizes)
         ]
         arrived, link, schedule = send_over(sent, rate=5e6)
-        self.assertEqual(link.overrun, 0)
+        self.assertEqual(link.queue_drops, 0)
         self.assertEqual(len(arrived) + schedule.dropped_by_reason.total(), len(sent))
         self.assertEqual((len(schedule), schedule.queued_bytes), (0, 0))
         for flow in range(1, 6):
--- a/tests/operator/test_change.py
+++ b/tests/operator/test_change.py
@@ -75,7 +75,7 @@
 
     async def test_base_of_a_lost_history(self):
         """A change based on a version that a restore removed is a conflict."""
-        backup = self.platform.store.copy()
+        backup = self.platform.store.backup()
         await self.apply(wanted("ana"))
         base = await read_stored(self.platform)
         self.platform.store.restore(backup)
--- a/tests/operator/test_evacuate.py
+++ b/tests/operator/test_evacuate.py
@@ -101,7 +101,7 @@
 
     async def test_order_of_a_lost_history(self):
         """An order with a revision reused after a restore isn't removed."""
-        backup = self.platform.store.copy()
+        backup = self.platform.store.backup()
         await self.store_order(order("ana"))
         stored = (await read_orders(self.platform))["dc-1"]
         self.platform.store.restore(backup)
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -79,7 +79,7 @@
         for seed in self.SEEDS:
             simulation = Simulation(replace(world, seed=seed))
             simulation.run()
-            worths.append(simulation.worth_between(since, until))
+            worths.append(simulation.score_between(since, until))
         return sum(worths) / len(worths)
 
     def test_backlog_makes_nobody_late(self) -> None:
--- a/tests/packets/test_reservations.py
+++ b/tests/packets/test_reservations.py
@@ -445,7 +445,7 @@
 
     def test_where_callers_enter_matters_less(self) -> None:
         """With reservations waits differ less between data centres."""
-        late = self.reserved.late_by_data_centre()
-        plain = self.plain.late_by_data_centre()
+        late = self.reserved.late_share_by_data_centre()
+        plain = self.plain.late_share_by_data_centre()
         self.assertLess(max(late) - min(late), 0.06)
         self.assertLess(max(late) - min(late), max(plain) - min(plain))
--- a/tests/packets/test_store_return.py
+++ b/tests/packets/test_store_return.py
@@ -22,7 +22,7 @@
             deployment.ip(name)
         self.deployment = deployment
         self.store = deployment.store
-        self.copy = self.store.store.copy()  # before any balancer has registered
+        self.copy = self.store.store.backup()  # before any balancer has registered
         await asyncio.gather(
             *(deployment.start_balancer(name) for name in BALANCERS),
             deployment.start_pair("maps-1", "maps"),
--- a/tests/process/test_failures.py
+++ b/tests/process/test_failures.py
@@ -16,7 +16,7 @@
 )
 from monsoonpier.store.etcd import EtcdStore
 from standins.deployment import Deployment
-from standins.load import Load, judge
+from standins.load import Load, evaluate
 
 RACES = 50
 NO_NEW_WORK_SECONDS = 3.0
@@ -51,7 +51,7 @@
     async def _finish(self, load: Load, deployment: Deployment) -> None:
         """Stop the load and check that no guarantee was violated."""
         await load.stop()
-        judgement = judge(load, deployment.runs())
+        judgement = evaluate(load, deployment.runs())
         self.assertEqual(load.errors, [])
         self.assertTrue(judgement.is_clean, f"{judgement} {load.troubles()}")
         self.assertGreater(judgement.requests, 10)
@@ -139,7 +139,7 @@
             await deployment.wait_ready("maps-1")
             again = await load.ask(caller, "maps", "top-up", deadline=10.0)
             self.assertIsInstance(again, Done)
-        judgement = judge(load, deployment.runs())
+        judgement = evaluate(load, deployment.runs())
         self.assertEqual(judgement.ran_twice, 0)
         self.assertEqual(judgement.false_not_run, 0)
         self.assertEqual(len(deployment.runs()), 2)
@@ -156,7 +156,7 @@
         node.signal(signal.SIGCONT)
         await asyncio.sleep(1.0)
         await load.stop()
-        judgement = judge(load, deployment.runs())
+        judgement = evaluate(load, deployment.runs())
         self.assertEqual(judgement.ran_twice, 0)
         self.assertEqual(judgement.false_not_run, 0)
         self.assertEqual(judgement.wrong_service, 0)
--- a/tests/store/test_contract.py
+++ b/tests/store/test_contract.py
@@ -155,7 +155,7 @@
             The first lost write's result, and the last revision before the restore.
         """
         await self.put("/test/before", b"kept")
-        backup = self.restorable.copy()
+        backup = self.restorable.backup()
         lost = await self.put(KEY, b"lost")
         before = await self.put(KEY, b"lost too")
         self.restorable.restore(backup)
@@ -334,7 +334,7 @@
         """A read fails if the store is restored between two pages."""
         for number in range(600):
             self.stand_in.put(f"a/{number:05d}", b"x")
-        backup, read_page, pages = self.restorable.copy(), self.store._get, []
+        backup, read_page, pages = self.restorable.backup(), self.store._get, []
 
         async def restore_between(call, query):
             if pages:
