--- a/bench/packet_capacity.py
+++ b/bench/packet_capacity.py
@@ -12,7 +12,7 @@
 import tracemalloc
 from collections.abc import Callable
 
-from monsoonpier.agent.packets.holder import PacketFlowOwner
+from monsoonpier.agent.packets.owner import PacketFlowOwner
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.balancer.packets.steering import PacketSteering
--- a/bench/packet_placement.py
+++ b/bench/packet_placement.py
@@ -6,7 +6,7 @@
 import itertools
 from collections.abc import Iterator, Sequence
 
-from monsoonpier.balancer.steering import Candidate, Chosen, NoTarget
+from monsoonpier.balancer.target_choice import Candidate, Chosen, NoTarget
 from standins.packets.simulation import Fault, Simulation, World
 
 __all__ = ["WORLDS_BY_NAME", "packet_placement", "simulate"]
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from monsoonpier.balancer.steering import Candidate, Chosen, choose_target
+from monsoonpier.balancer.target_choice import Candidate, Chosen, choose_target
 from monsoonpier.balancer.tokens.decision import Balancer
 from monsoonpier.model.keys import Key, KeyRing
 from monsoonpier.model.service import Preference
--- a/monsoonpier/agent/balancer_link.py
+++ b/monsoonpier/agent/balancer_link.py
@@ -8,7 +8,7 @@
 import msgspec
 import structlog
 
-from monsoonpier.agent.witnesses import HeartbeatPeers
+from monsoonpier.agent.heartbeat_peers import HeartbeatPeers
 from monsoonpier.documents.stored import decode_configuration, unpack
 from monsoonpier.model.evacuation import Evacuations
 from monsoonpier.model.service import Configuration
--- a/monsoonpier/agent/packets/admission.py
+++ b/monsoonpier/agent/packets/admission.py
@@ -15,7 +15,7 @@
 from collections import Counter
 
 from monsoonpier.agent.packets.actions import ToProcess, ToTarget
-from monsoonpier.agent.packets.expectation import ExpectedPackets
+from monsoonpier.agent.packets.expected_packets import ExpectedPackets
 from monsoonpier.agent.packets.flows import PacketFlow, Phase
 from monsoonpier.agent.packets.load import TargetLoad
 from monsoonpier.agent.packets.queue import AdmissionQueue, QueuedSyn
--- a/monsoonpier/agent/packets/target_run.py
+++ b/monsoonpier/agent/packets/instance_history.py
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass
 
-from monsoonpier.agent.packets.announcement import TargetHeartbeat, TargetInstance
+from monsoonpier.agent.packets.messages import TargetHeartbeat, TargetInstance
 
 __all__ = ["CurrentHeartbeat", "StaleHeartbeat", "NewInstance", "InstanceHistory"]
 
--- a/monsoonpier/agent/packets/load.py
+++ b/monsoonpier/agent/packets/load.py
@@ -3,15 +3,15 @@
 import math
 from typing import NamedTuple
 
-from monsoonpier.agent.packets.cold import ColdStartLimit
-from monsoonpier.agent.packets.evidence import FailureRate
+from monsoonpier.agent.packets.cold_start import ColdStartLimit
+from monsoonpier.agent.packets.failure_rate import FailureRate
 from monsoonpier.agent.packets.flows import PacketFlow, Phase
 from monsoonpier.agent.packets.queue import AdmissionQueue
 from monsoonpier.agent.packets.reservations import Reservations
 from monsoonpier.agent.packets.run_times import RunTimes
 from monsoonpier.agent.packets.slot_use import SlotUse
 from monsoonpier.model.target import QUEUE_AHEAD, Condition, LoadReport
-from monsoonpier.process.readings import Histogram, Metric, Series, gauge
+from monsoonpier.process.metrics import Histogram, Metric, Series, gauge
 
 __all__ = ["LoadLevel", "TargetLoad"]
 
--- a/monsoonpier/agent/packets/holder.py
+++ b/monsoonpier/agent/packets/owner.py
@@ -19,10 +19,10 @@
 )
 from monsoonpier.agent.packets.admission import FlowAdmission
 from monsoonpier.agent.packets.flows import PacketFlow, Phase
+from monsoonpier.agent.packets.instance_state import InstanceState
 from monsoonpier.agent.packets.load import TargetLoad
 from monsoonpier.agent.packets.load_reports import LoadReports
 from monsoonpier.agent.packets.queue import QueuedSyn
-from monsoonpier.agent.packets.target_knowledge import InstanceState
 from monsoonpier.model.address import Address
 from monsoonpier.model.target import Condition, LoadReport
 from monsoonpier.process.logs import DecisionLog
--- a/monsoonpier/agent/packets/process.py
+++ b/monsoonpier/agent/packets/process.py
@@ -13,14 +13,14 @@
     ToProcess,
     ToTarget,
 )
-from monsoonpier.agent.packets.announcement import LeaveNotice, TargetHeartbeat
-from monsoonpier.agent.packets.holder import PacketFlowOwner
-from monsoonpier.agent.packets.liveness import TargetLiveness
-from monsoonpier.agent.packets.target_run import (
+from monsoonpier.agent.packets.instance_history import (
     InstanceHistory,
     NewInstance,
     StaleHeartbeat,
 )
+from monsoonpier.agent.packets.liveness import TargetLiveness
+from monsoonpier.agent.packets.messages import LeaveNotice, TargetHeartbeat
+from monsoonpier.agent.packets.owner import PacketFlowOwner
 from monsoonpier.link.schedule import Urgency
 from monsoonpier.link.sender import LinkSender
 from monsoonpier.model.address import Address
@@ -28,9 +28,9 @@
 from monsoonpier.model.target import ABSENT_SECONDS, Condition
 from monsoonpier.process.control import ControlServer, handle_drain
 from monsoonpier.process.frames import send_frame
-from monsoonpier.process.life import ProcessLifecycle, run_until_shutdown
+from monsoonpier.process.lifecycle import ProcessLifecycle, run_until_shutdown
 from monsoonpier.process.logs import DecisionLog, format_flow
-from monsoonpier.process.readings import counter, gauge
+from monsoonpier.process.metrics import counter, gauge
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.process.web import WebServer
 from monsoonpier.store.interface import Store
--- a/monsoonpier/agent/packets/slot_use.py
+++ b/monsoonpier/agent/packets/slot_use.py
@@ -7,7 +7,7 @@
 from collections import deque
 from dataclasses import asdict, dataclass
 
-from monsoonpier.process.readings import Histogram, Metric, counter
+from monsoonpier.process.metrics import Histogram, Metric, counter
 
 __all__ = ["SlotSeconds", "SlotUse"]
 
--- a/monsoonpier/agent/tokens/process.py
+++ b/monsoonpier/agent/tokens/process.py
@@ -18,7 +18,7 @@
     Run,
     StartStream,
 )
-from monsoonpier.agent.tokens.holder import FlowOwner
+from monsoonpier.agent.tokens.owner import FlowOwner
 from monsoonpier.agent.tokens.runner import (
     Event,
     ItemRead,
@@ -34,8 +34,8 @@
 from monsoonpier.model.token import FlowToken
 from monsoonpier.process.control import ControlServer, handle_drain
 from monsoonpier.process.frames import send_frame
-from monsoonpier.process.life import ProcessLifecycle, run_until_shutdown
-from monsoonpier.process.readings import counter, gauge
+from monsoonpier.process.lifecycle import ProcessLifecycle, run_until_shutdown
+from monsoonpier.process.metrics import counter, gauge
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.process.web import WebServer
 from monsoonpier.store.etcd import EtcdStore
--- a/monsoonpier/balancer/member.py
+++ b/monsoonpier/balancer/node.py
@@ -29,7 +29,7 @@
     send_request,
 )
 from monsoonpier.process.frames import send_frame
-from monsoonpier.process.life import ProcessLifecycle
+from monsoonpier.process.lifecycle import ProcessLifecycle
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.store.backoff import Backoff
 from monsoonpier.store.interface import Store
--- a/monsoonpier/balancer/packets/queueing.py
+++ b/monsoonpier/balancer/packets/backlog.py
@@ -7,6 +7,7 @@
 import random
 from dataclasses import dataclass
 
+from monsoonpier.balancer.packets.context import SteeringContext
 from monsoonpier.balancer.packets.flows import FlowEntry
 from monsoonpier.balancer.packets.placement import (
     median_service_seconds,
@@ -16,9 +17,8 @@
 from monsoonpier.balancer.packets.presence import CallerPresence
 from monsoonpier.balancer.packets.reservations import SlotReservations
 from monsoonpier.balancer.packets.returning import EarlierAttempt
-from monsoonpier.balancer.packets.scope import SteeringContext
-from monsoonpier.balancer.packets.waiting import ServiceQueues
-from monsoonpier.balancer.steering import Candidate
+from monsoonpier.balancer.packets.service_queues import ServiceQueues
+from monsoonpier.balancer.target_choice import Candidate
 from monsoonpier.model.service import PacketRoute
 from monsoonpier.model.waiting import MARGIN_RUNS, WaitingFlow
 from monsoonpier.wire.frames import FirstAttemptReply, OfferSlot
--- a/monsoonpier/balancer/packets/scope.py
+++ b/monsoonpier/balancer/packets/context.py
@@ -8,12 +8,12 @@
 
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.membership import ALONE_SECONDS, Membership
-from monsoonpier.balancer.packets.caller_waits import WaitStatistics
-from monsoonpier.balancer.packets.first_asked import FirstAttempts
+from monsoonpier.balancer.packets.first_attempts import FirstAttempts
 from monsoonpier.balancer.packets.flows import FlowEntry, FlowTable
 from monsoonpier.balancer.packets.returning import ReturningCallers
-from monsoonpier.balancer.packets.runs import TargetInstances
 from monsoonpier.balancer.packets.shares import EarlierServices, choose_service
+from monsoonpier.balancer.packets.target_instances import TargetInstances
+from monsoonpier.balancer.packets.wait_statistics import WaitStatistics
 from monsoonpier.model.address import Address
 from monsoonpier.model.service import PacketRoute
 from monsoonpier.model.target import ABSENT_SECONDS, Condition, TargetRecord
--- a/monsoonpier/balancer/packets/openings.py
+++ b/monsoonpier/balancer/packets/new_flows.py
@@ -3,6 +3,13 @@
 import random
 from collections import deque
 
+from monsoonpier.balancer.packets.backlog import (
+    FlowBacklog,
+    QueueRejection,
+    is_in_time,
+    wait_expires_at,
+)
+from monsoonpier.balancer.packets.context import SteeringContext
 from monsoonpier.balancer.packets.flows import FlowEntry, FlowStatistics
 from monsoonpier.balancer.packets.placement import (
     PlacementQuery,
@@ -11,19 +18,12 @@
     place,
     without_failing,
 )
-from monsoonpier.balancer.packets.queueing import (
-    FlowBacklog,
-    QueueRejection,
-    is_in_time,
-    wait_expires_at,
-)
 from monsoonpier.balancer.packets.returning import EarlierAttempt
-from monsoonpier.balancer.packets.scope import SteeringContext
-from monsoonpier.balancer.steering import Candidate, Chosen, NoTarget
+from monsoonpier.balancer.target_choice import Candidate, Chosen, NoTarget
 from monsoonpier.model.address import Address
 from monsoonpier.model.service import PacketRoute
 from monsoonpier.model.waiting import WaitingFlow
-from monsoonpier.process.readings import Histogram
+from monsoonpier.process.metrics import Histogram
 from monsoonpier.wire.frames import (
     MAX_TRIED,
     FirstAttemptReply,
--- a/monsoonpier/balancer/packets/tries.py
+++ b/monsoonpier/balancer/packets/owner_probes.py
@@ -9,8 +9,8 @@
 from collections.abc import Collection
 
 from monsoonpier.balancer.actions import ToAgent
+from monsoonpier.balancer.packets.context import SteeringContext
 from monsoonpier.balancer.packets.flows import FlowEntry, OwnerLookup
-from monsoonpier.balancer.packets.scope import SteeringContext
 from monsoonpier.model.rendezvous import top
 from monsoonpier.wire.frames import MAX_PASSED_ON, RelayPacket
 from monsoonpier.wire.packet import Packet
--- a/monsoonpier/balancer/packets/questions.py
+++ b/monsoonpier/balancer/packets/owner_queries.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from monsoonpier.balancer.actions import ToAgent
-from monsoonpier.balancer.packets.scope import SteeringContext
+from monsoonpier.balancer.packets.context import SteeringContext
 from monsoonpier.wire.frames import MAX_QUERIED_FLOWS, OwnershipQuery
 
 __all__ = ["OwnerQueries"]
--- a/monsoonpier/balancer/packets/inquiries.py
+++ b/monsoonpier/balancer/packets/owner_resolver.py
@@ -4,11 +4,11 @@
 from collections import deque
 
 from monsoonpier.balancer.actions import ToAgent
+from monsoonpier.balancer.packets.context import ServiceAgents, SteeringContext
 from monsoonpier.balancer.packets.directory import OwnerDirectory
 from monsoonpier.balancer.packets.flows import FlowEntry, OwnerLookup
-from monsoonpier.balancer.packets.questions import OwnerQueries
-from monsoonpier.balancer.packets.scope import ServiceAgents, SteeringContext
-from monsoonpier.balancer.packets.tries import OwnerProbes
+from monsoonpier.balancer.packets.owner_probes import OwnerProbes
+from monsoonpier.balancer.packets.owner_queries import OwnerQueries
 from monsoonpier.wire.frames import (
     DirectoryQuery,
     DirectoryReply,
--- a/monsoonpier/balancer/packets/placement.py
+++ b/monsoonpier/balancer/packets/placement.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from monsoonpier.balancer.steering import Candidate, Chosen, NoTarget
+from monsoonpier.balancer.target_choice import Candidate, Chosen, NoTarget
 from monsoonpier.model.target import QUEUE_AHEAD
 
 __all__ = [
--- a/monsoonpier/balancer/packets/process.py
+++ b/monsoonpier/balancer/packets/process.py
@@ -7,19 +7,19 @@
 import structlog
 
 from monsoonpier.balancer.actions import ToAgent
-from monsoonpier.balancer.member import BalancerNode, balancer_record
 from monsoonpier.balancer.membership import Membership
-from monsoonpier.balancer.packets.scope import ResetCaller
+from monsoonpier.balancer.node import BalancerNode, balancer_record
+from monsoonpier.balancer.packets.context import ResetCaller
 from monsoonpier.balancer.packets.steering import PacketSteering
-from monsoonpier.balancer.packets.wait_readings import wait_metrics
+from monsoonpier.balancer.packets.wait_metrics import wait_metrics
 from monsoonpier.balancer.stored_configuration import ConfigurationFormat
 from monsoonpier.link.schedule import Urgency
 from monsoonpier.link.sender import LinkSender
 from monsoonpier.model.address import Address
 from monsoonpier.model.settings import Settings
-from monsoonpier.process.life import ProcessLifecycle, run_until_shutdown
+from monsoonpier.process.lifecycle import ProcessLifecycle, run_until_shutdown
 from monsoonpier.process.logs import DecisionLog
-from monsoonpier.process.readings import counter, gauge
+from monsoonpier.process.metrics import counter, gauge
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.process.web import WebServer
 from monsoonpier.store.interface import Store
--- a/monsoonpier/balancer/packets/reservations.py
+++ b/monsoonpier/balancer/packets/reservations.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass
 
 from monsoonpier.balancer.actions import ToAgent
+from monsoonpier.balancer.packets.context import SteeringContext
 from monsoonpier.balancer.packets.placement import (
     fast_service_seconds,
     requests_per_second,
     without_failing,
 )
-from monsoonpier.balancer.packets.scope import SteeringContext
-from monsoonpier.balancer.packets.waiting import ServiceQueues
-from monsoonpier.balancer.steering import Candidate
+from monsoonpier.balancer.packets.service_queues import ServiceQueues
+from monsoonpier.balancer.target_choice import Candidate
 from monsoonpier.model.target import QUEUE_AHEAD
 from monsoonpier.model.waiting import MARGIN_RUNS, RESERVATIONS_PER_FLOW
 from monsoonpier.wire.frames import DeclineSlot, OfferSlot, ReserveSlot
--- a/monsoonpier/balancer/packets/steering.py
+++ b/monsoonpier/balancer/packets/steering.py
@@ -13,14 +13,14 @@
 from collections.abc import Collection
 
 from monsoonpier.balancer.membership import Membership
-from monsoonpier.balancer.packets.caller_waits import ServiceWaits
+from monsoonpier.balancer.packets.context import SteeringContext
 from monsoonpier.balancer.packets.flows import FlowEntry
-from monsoonpier.balancer.packets.inquiries import OwnerResolver
-from monsoonpier.balancer.packets.openings import NewFlowHandler
-from monsoonpier.balancer.packets.scope import SteeringContext
+from monsoonpier.balancer.packets.new_flows import NewFlowHandler
+from monsoonpier.balancer.packets.owner_resolver import OwnerResolver
+from monsoonpier.balancer.packets.wait_statistics import ServiceWaits
 from monsoonpier.model.waiting_summary import WaitingSummary
 from monsoonpier.process.logs import DecisionLog
-from monsoonpier.process.readings import Metric
+from monsoonpier.process.metrics import Metric
 from monsoonpier.wire.frames import (
     AttemptRejected,
     FirstAttemptQuery,
--- a/monsoonpier/balancer/packets/wait_readings.py
+++ b/monsoonpier/balancer/packets/wait_metrics.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterable, Mapping
 
 from monsoonpier.model.waiting_summary import WaitingSummary
-from monsoonpier.process.readings import Metric, Series
+from monsoonpier.process.metrics import Metric, Series
 
 __all__ = ["wait_metrics"]
 
--- a/monsoonpier/balancer/packets/caller_waits.py
+++ b/monsoonpier/balancer/packets/wait_statistics.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from monsoonpier.balancer.packets.placement import median_service_seconds, wait_for_slot
-from monsoonpier.balancer.steering import Candidate
+from monsoonpier.balancer.target_choice import Candidate
 from monsoonpier.model.service import PacketRoute
 from monsoonpier.model.waiting import MARGIN_RUNS, WaitingFlow
 from monsoonpier.model.waiting_summary import LatelySeen, WaitingSummary
--- a/monsoonpier/balancer/table.py
+++ b/monsoonpier/balancer/table.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from monsoonpier.balancer.steering import Candidate
+from monsoonpier.balancer.target_choice import Candidate
 from monsoonpier.model.service import Service
 from monsoonpier.model.target import Condition, LoadReport, TargetRecord
 from monsoonpier.wire.frames import SilenceReport
--- a/monsoonpier/balancer/tokens/decision.py
+++ b/monsoonpier/balancer/tokens/decision.py
@@ -6,8 +6,8 @@
 from monsoonpier.balancer.actions import ToAgent, ToCaller
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.balancer.peers import Peers
-from monsoonpier.balancer.steering import Chosen, NoTarget, choose_target
 from monsoonpier.balancer.table import TargetTable
+from monsoonpier.balancer.target_choice import Chosen, NoTarget, choose_target
 from monsoonpier.model.keys import KeyRing
 from monsoonpier.model.service import Configuration, Service
 from monsoonpier.model.token import open_token
--- a/monsoonpier/balancer/tokens/process.py
+++ b/monsoonpier/balancer/tokens/process.py
@@ -9,13 +9,13 @@
 import structlog
 
 from monsoonpier.balancer.actions import ToAgent, ToCaller
-from monsoonpier.balancer.member import BalancerNode, balancer_record
+from monsoonpier.balancer.node import BalancerNode, balancer_record
 from monsoonpier.balancer.tokens.decision import Balancer
 from monsoonpier.link.schedule import Urgency
 from monsoonpier.link.sender import LinkSender
 from monsoonpier.model.settings import Settings
-from monsoonpier.process.life import ProcessLifecycle, run_until_shutdown
-from monsoonpier.process.readings import counter, gauge
+from monsoonpier.process.lifecycle import ProcessLifecycle, run_until_shutdown
+from monsoonpier.process.metrics import counter, gauge
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.process.web import WebServer
 from monsoonpier.store.etcd import EtcdStore
--- a/monsoonpier/link/sender.py
+++ b/monsoonpier/link/sender.py
@@ -6,7 +6,7 @@
 import structlog
 
 from monsoonpier.link.schedule import Datagram, LinkSchedule, Urgency
-from monsoonpier.process.readings import Histogram, Metric, counter, gauge
+from monsoonpier.process.metrics import Histogram, Metric, counter, gauge
 from monsoonpier.process.udp import UdpSocket
 
 __all__ = ["LinkSender"]
--- a/monsoonpier/platform/store.py
+++ b/monsoonpier/platform/store.py
@@ -12,7 +12,7 @@
 from monsoonpier.http import HttpClient, HttpError, Response
 from monsoonpier.model.address import Address
 from monsoonpier.model.revision import Revision
-from monsoonpier.process.readings import Histogram
+from monsoonpier.process.metrics import Histogram
 from monsoonpier.store.generation import GenerationTracker
 from monsoonpier.store.interface import (
     CompactedError,
--- a/monsoonpier/platform/targets.py
+++ b/monsoonpier/platform/targets.py
@@ -7,7 +7,7 @@
 import msgspec
 import structlog
 
-from monsoonpier.agent.packets.announcement import (
+from monsoonpier.agent.packets.messages import (
     LeaveNotice,
     TargetHeartbeat,
     TargetInstance,
--- a/monsoonpier/process/control.py
+++ b/monsoonpier/process/control.py
@@ -10,7 +10,7 @@
 
 from monsoonpier.model.address import Address
 from monsoonpier.model.keys import KeyRing
-from monsoonpier.process.life import ProcessLifecycle
+from monsoonpier.process.lifecycle import ProcessLifecycle
 from monsoonpier.wire.codec import Dropped
 from monsoonpier.wire.control import (
     MAX_CONTROL_BYTES,
--- a/monsoonpier/process/exposition.py
+++ b/monsoonpier/process/exposition.py
@@ -15,7 +15,7 @@
     HistogramMetricFamily,
 )
 
-from monsoonpier.process.readings import (
+from monsoonpier.process.metrics import (
     BOUNDS,
     Counter,
     Gauge,
--- a/monsoonpier/process/web.py
+++ b/monsoonpier/process/web.py
@@ -4,7 +4,7 @@
 
 from monsoonpier.http import HttpServer, Request, Response
 from monsoonpier.model.address import Address
-from monsoonpier.process.readings import Metric
+from monsoonpier.process.metrics import Metric
 
 __all__ = ["WebServer", "ready_response"]
 
--- a/standins/packets/simulation.py
+++ b/standins/packets/simulation.py
@@ -19,11 +19,11 @@
     ToProcess,
     ToTarget,
 )
-from monsoonpier.agent.packets.holder import PacketFlowOwner
+from monsoonpier.agent.packets.owner import PacketFlowOwner
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.membership import Membership
-from monsoonpier.balancer.packets import openings
-from monsoonpier.balancer.packets.scope import ResetCaller
+from monsoonpier.balancer.packets import new_flows
+from monsoonpier.balancer.packets.context import ResetCaller
 from monsoonpier.balancer.packets.steering import PacketSteering
 from monsoonpier.model.address import Address
 from monsoonpier.model.service import Configuration, PacketRoute
@@ -340,15 +340,15 @@
         if back:
             self._schedule_at(out, self._begin_outage)
             self._schedule_at(back, self._end_outage)
-        original = openings.place
+        original = new_flows.place
         if self._choose is not None:
-            openings.place = self._place
+            new_flows.place = self._place
         try:
             while self._events:
                 self.now, _, callback, arguments = heapq.heappop(self._events)
                 callback(*arguments)
         finally:
-            openings.place = original
+            new_flows.place = original
         return self._outcome()
 
     def _place(self, query, candidates, *, draw):
--- a/tests/agent/test_differential.py
+++ b/tests/agent/test_differential.py
@@ -5,7 +5,7 @@
 
 from hypothesis import HealthCheck, given, settings, strategies as st
 
-from monsoonpier.agent.tokens.holder import IDLE_FLOW_SECONDS
+from monsoonpier.agent.tokens.owner import IDLE_FLOW_SECONDS
 from monsoonpier.model.outcome import Done, NotRun, Refused
 from tests.rig import Rig
 
--- a/tests/agent/test_witnesses.py
+++ b/tests/agent/test_witnesses.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from monsoonpier.agent.witnesses import (
+from monsoonpier.agent.heartbeat_peers import (
     MAX_MISSED_HEARTBEATS,
     PEER_COUNT,
     HeartbeatPeers,
--- a/tests/balancer/test_clocks.py
+++ b/tests/balancer/test_clocks.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from monsoonpier.agent.witnesses import HeartbeatPeers
+from monsoonpier.agent.heartbeat_peers import HeartbeatPeers
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.model.target import Condition
 from monsoonpier.wire.frames import Announce, BalancerRecord, Gossip, HeartbeatAck
--- a/tests/balancer/test_steering.py
+++ b/tests/balancer/test_steering.py
@@ -4,7 +4,12 @@
 import unittest
 from collections import Counter
 
-from monsoonpier.balancer.steering import Candidate, Chosen, NoTarget, choose_target
+from monsoonpier.balancer.target_choice import (
+    Candidate,
+    Chosen,
+    NoTarget,
+    choose_target,
+)
 from monsoonpier.model.service import Preference
 from monsoonpier.model.target import Condition, LoadReport
 from tests.rig import record
--- a/tests/packets/rig.py
+++ b/tests/packets/rig.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from monsoonpier.agent.packets.holder import PacketFlowOwner
+from monsoonpier.agent.packets.owner import PacketFlowOwner
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.membership import Membership
-from monsoonpier.balancer.packets.scope import ResetCaller
+from monsoonpier.balancer.packets.context import ResetCaller
 from monsoonpier.balancer.packets.steering import PacketSteering
 from monsoonpier.model.address import Address
 from monsoonpier.model.service import Configuration, PacketRoute
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from monsoonpier.agent.packets.expectation import (
+from monsoonpier.agent.packets.expected_packets import (
     MAX_TIMEOUT_SECONDS,
     MIN_TIMEOUT_SECONDS,
     ExpectedPackets,
--- a/tests/packets/test_agent_process.py
+++ b/tests/packets/test_agent_process.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from monsoonpier.agent.packets import process as agent_process
-from monsoonpier.agent.packets.announcement import (
+from monsoonpier.agent.packets.messages import (
     LeaveNotice,
     TargetHeartbeat,
     TargetInstance,
--- a/tests/packets/test_caller_waits.py
+++ b/tests/packets/test_caller_waits.py
@@ -3,13 +3,13 @@
 import unittest
 from unittest import mock
 
-from monsoonpier.balancer.packets.caller_waits import (
+from monsoonpier.balancer.packets.wait_metrics import wait_metrics
+from monsoonpier.balancer.packets.wait_statistics import (
     LOG_INTERVAL_SECONDS,
     MAX_LOG_LINES,
     MAX_REASONS,
     WaitStatistics,
 )
-from monsoonpier.balancer.packets.wait_readings import wait_metrics
 from monsoonpier.model.address import Address
 from monsoonpier.model.service import Configuration, PacketRoute
 from monsoonpier.model.waiting_summary import WaitingSummary
--- a/tests/packets/test_cold.py
+++ b/tests/packets/test_cold.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from monsoonpier.agent.packets.cold import ColdStartLimit
+from monsoonpier.agent.packets.cold_start import ColdStartLimit
 from monsoonpier.model.service import Configuration
 from monsoonpier.platform.configuration import PLATFORM_FORMAT
 from monsoonpier.wire.frames import Announce, ForwardPacket, SynRejected
--- a/tests/packets/test_evidence.py
+++ b/tests/packets/test_evidence.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from bench.packet_placement import WORLDS_BY_NAME, simulate
-from monsoonpier.agent.packets.evidence import FailureRate
+from monsoonpier.agent.packets.failure_rate import FailureRate
 from monsoonpier.balancer.packets.placement import without_failing
 from monsoonpier.model.target import Condition
 from monsoonpier.platform.packets import PlatformPackets
--- a/tests/packets/test_first_asked.py
+++ b/tests/packets/test_first_asked.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from monsoonpier.balancer.packets.first_asked import FirstAttempts
+from monsoonpier.balancer.packets.first_attempts import FirstAttempts
 from monsoonpier.balancer.packets.returning import (
     MAX_REJECTIONS,
     EarlierAttempt,
--- a/tests/packets/test_holder.py
+++ b/tests/packets/test_holder.py
@@ -7,7 +7,7 @@
     ToCallerPacket,
     ToTarget,
 )
-from monsoonpier.agent.packets.holder import PacketFlowOwner
+from monsoonpier.agent.packets.owner import PacketFlowOwner
 from monsoonpier.model.target import ABSENT_SECONDS, Condition
 from monsoonpier.wire.frames import (
     FlowNotOwned,
--- a/tests/packets/test_placement.py
+++ b/tests/packets/test_placement.py
@@ -5,7 +5,7 @@
 
 from monsoonpier.balancer.packets.flows import FlowEntry, FlowStatistics
 from monsoonpier.balancer.packets.placement import PlacementQuery, place
-from monsoonpier.balancer.steering import Candidate, Chosen
+from monsoonpier.balancer.target_choice import Candidate, Chosen
 from monsoonpier.model.target import Condition, LoadReport
 from standins.packets.simulation import Simulation, World
 from tests.packets.rig import packet, record
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from unittest import mock
 
-from monsoonpier.balancer.packets import scope
+from monsoonpier.balancer.packets import context
 from standins.packets.simulation import Simulation, World
 
 BACK = 6.9
@@ -42,7 +42,7 @@
         """Dead flows are reset without a long wait for unknown agents."""
         many = replace(WORLD, long_flows=60)
         soon = self.in_time(many, BACK, BACK + 0.6)
-        with mock.patch.object(scope, "PEER_DISCOVERY_SECONDS", 4.0):
+        with mock.patch.object(context, "PEER_DISCOVERY_SECONDS", 4.0):
             late = self.in_time(many, BACK, BACK + 0.6)
         self.assertGreater(soon, 1.2 * late)
 
--- a/tests/packets/test_verdicts.py
+++ b/tests/packets/test_verdicts.py
@@ -5,7 +5,7 @@
 import random
 import unittest
 
-from monsoonpier.balancer.packets.scope import ResetCaller
+from monsoonpier.balancer.packets.context import ResetCaller
 from monsoonpier.model.target import Condition
 from monsoonpier.wire.frames import OwnershipQuery, OwnershipReply
 from tests.packets.rig import SteeringRig, packet, record
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -15,7 +15,7 @@
 import msgspec
 from hypothesis import given, settings, strategies as st
 
-from monsoonpier.agent.packets.announcement import (
+from monsoonpier.agent.packets.messages import (
     LeaveNotice,
     TargetHeartbeat,
     TargetInstance,
--- a/tests/process/test_metrics.py
+++ b/tests/process/test_metrics.py
@@ -3,7 +3,7 @@
 import unittest
 
 from monsoonpier.process.exposition import expose
-from monsoonpier.process.readings import Histogram, counter, gauge
+from monsoonpier.process.metrics import Histogram, counter, gauge
 
 
 class ExpositionTests(unittest.TestCase):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from monsoonpier.agent.tokens import actions
-from monsoonpier.agent.tokens.holder import FlowOwner
+from monsoonpier.agent.tokens.owner import FlowOwner
 from monsoonpier.balancer.actions import ToAgent, ToCaller
 from monsoonpier.balancer.tokens.decision import Balancer
 from monsoonpier.caller.session import FlowLostEvent, FlowSession, RequestEnded
