--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -136,7 +136,7 @@
         await asyncio.sleep(SETTLE_SECONDS)
         points.append((count, (read_cost(node.pid).seconds - before.seconds) * 1e6))
     figures["balancer microseconds per heartbeat"] = fit(points)
-    await deployment.retire_balancer("b-targets")
+    await deployment.shut_down_balancer("b-targets")
     agents.socket.close()
 
 
@@ -167,7 +167,7 @@
     figures["balancer microseconds per new flow by targets of the service"] = fit(
         points
     )
-    await deployment.retire_balancer("b-opens")
+    await deployment.shut_down_balancer("b-opens")
     agents.socket.close()
 
 
@@ -268,7 +268,7 @@
         calls_made / metrics["monsoonpier_uptime_seconds"]
     )
     for name in names:
-        await deployment.retire_balancer(name)
+        await deployment.shut_down_balancer(name)
 
 
 async def _control_bytes(deployment: Deployment, name: str) -> float:
@@ -328,7 +328,7 @@
         await deployment.start_surroundings()
         await deployment.start_balancer("b1")
         folder = deployment.write_services(cold_start_seconds=0)
-        await deployment.operate("apply", str(folder), "--wait")
+        await deployment.run_operator_command("apply", str(folder), "--wait")
         await deployment.wait_ready("b1")
         for measure in (
             _idle_balancer,
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -59,7 +59,9 @@
 async def _apply(deployment: Deployment, what: str, **changes) -> float:
     """Apply a configuration; return the seconds until all balancers use it."""
     folder = deployment.write_services(**changes)
-    status, out, err = await deployment.operate("apply", str(folder), "--wait")
+    status, out, err = await deployment.run_operator_command(
+        "apply", str(folder), "--wait"
+    )
     if status:
         raise RuntimeError(f"apply ended with {status}: {err}")
     seconds = float(re.search(r"after ([0-9.]+) s", out)[1])
@@ -72,7 +74,7 @@
         new = f"b{n + BALANCERS}"
         await deployment.start_balancer(new)
         await deployment.wait_ready(new)
-        status = await deployment.retire_balancer(f"b{n}")
+        status = await deployment.shut_down_balancer(f"b{n}")
         _print_progress(f"balancer b{n} exited with status {status}; {new} replaces it")
 
 
@@ -88,7 +90,7 @@
                 f"{service}-{new}", service, data_centre=data_centre
             )
             await deployment.wait_ready(f"{service}-{new}")
-            status = await deployment.retire_pair(f"{service}-{old}")
+            status = await deployment.shut_down_pair(f"{service}-{old}")
             _print_progress(
                 f"{service}-{old} exited with {status}; {service}-{new} replaces it"
             )
@@ -98,7 +100,9 @@
 
 async def _evacuate(deployment: Deployment) -> int:
     """Evacuate and readmit a data centre; return the runs started there meanwhile."""
-    status, out, err = await deployment.operate("evacuate", EVACUATED, "--wait")
+    status, out, err = await deployment.run_operator_command(
+        "evacuate", EVACUATED, "--wait"
+    )
     if status:
         raise RuntimeError(f"evacuate ended with {status}: {err}")
     _print_progress(f"{EVACUATED} is evacuated: {out.splitlines()[-1]}")
@@ -106,7 +110,9 @@
     since = time.time()
     await asyncio.sleep(EVACUATED_SECONDS)
     until = time.time()
-    status, out, err = await deployment.operate("readmit", EVACUATED, "--wait")
+    status, out, err = await deployment.run_operator_command(
+        "readmit", EVACUATED, "--wait"
+    )
     if status:
         raise RuntimeError(f"readmit ended with {status}: {err}")
     _print_progress(f"{EVACUATED} is readmitted: {out.splitlines()[-1]}")
@@ -148,7 +154,7 @@
         _print_progress(f"balancer b{BALANCERS + 1} is killed")
         deployment.nodes_by_name[f"b{BALANCERS + 1}"].signal(signal.SIGKILL)
         await asyncio.sleep(SETTLE_SECONDS)
-        await deployment.retire_balancer(f"b{BALANCERS + 1}")
+        await deployment.shut_down_balancer(f"b{BALANCERS + 1}")
         # The killed balancer's lease has not expired. A new balancer takes its
         # name, so that the next change need not wait for the expiry.
         await deployment.start_balancer(f"b{BALANCERS + 1}")
@@ -162,7 +168,7 @@
         result = evaluate(load, deployment.runs())
         for error in load.errors[:10]:
             _print_progress(f"error: {error}")
-        for text, count in load.troubles().most_common(10):
+        for text, count in load.count_failures().most_common(10):
             _print_progress(f"{count} x {text}")
         _print_progress(
             f"callers' counts: {dict(load.counts)}, {result.not_run} not run"
--- a/bench/packet_demo.py
+++ b/bench/packet_demo.py
@@ -60,7 +60,7 @@
         name = f"lb-{n}"
         node = deployment.nodes_by_name[name]
         node.signal(signal.SIGTERM)
-        deployment.rotate(name, out=True)
+        deployment.update_rotation(name, out=True)
         await node.wait()
         await _start_balancer(deployment, name)
 
@@ -85,7 +85,7 @@
     agents = [(f"maps-{n + MAPS}", "maps") for n in range(1, MAPS + 1)]
     for name in (*balancers, *(name for name, _ in agents)):
         deployment.nodes_by_name[name].signal(signal.SIGKILL)
-    deployment.rotate(*balancers, out=True)
+    deployment.update_rotation(*balancers, out=True)
     await asyncio.gather(
         *(_start_balancer(deployment, name) for name in balancers),
         *(deployment.start_agent(name, service) for name, service in agents),
--- a/bench/packet_placement.py
+++ b/bench/packet_placement.py
@@ -71,7 +71,7 @@
         number = int(candidate.record.name.rpartition("-")[2])
         target = simulation.targets[number]
         fault = simulation.fault_of(target)
-        ahead = max(target.holder.busy, target.running + len(target.waiting))
+        ahead = max(target.owner.busy, target.running + len(target.waiting))
         runs = max(1.0, (ahead + 1) / simulation.world.slots)
         flows = query.long_share * candidate.placed / simulation.world.slots
         return (runs + flows / 4) * fault.slow_ratio + 10 * fault.failure_share
@@ -123,7 +123,7 @@
                 "requests": outcome.requests,
                 "in_time": round(outcome.in_time, 4),
                 "served": round(outcome.served, 4),
-                "first_failed": round(outcome.first_failed, 4),
+                "first_failed": round(outcome.failed_attempt_share, 4),
                 "mean_ms": round(outcome.mean_seconds * 1000, 1),
                 "resets": outcome.resets,
             }
--- a/bench/running.py
+++ b/bench/running.py
@@ -39,7 +39,9 @@
         ),
     )
     folder = deployment.write_services(cold_start_seconds=0)
-    status, out, err = await deployment.operate("apply", str(folder), "--wait")
+    status, out, err = await deployment.run_operator_command(
+        "apply", str(folder), "--wait"
+    )
     if status:
         raise RuntimeError(out + err)
     await deployment.wait_ready(*(f"maps-{n}" for n in range(1, maps + 1)))
@@ -138,7 +140,7 @@
         await asyncio.sleep(2.0)
         yield _longest_gap("undisturbed", load)
         drained_at = time.time()
-        await deployment.operate("drain", "maps-1")
+        await deployment.run_operator_command("drain", "maps-1")
         status = await deployment.nodes_by_name["maps-1"].wait()
         await asyncio.sleep(1.0)
         yield _longest_gap("target drained", load)
@@ -187,9 +189,9 @@
             started_at = time.monotonic()
             applying = asyncio.create_task(_apply(deployment, 50 + number))
             await asyncio.sleep(0.35)
-            await deployment.fault(deployment.platform_url, down=True)
+            await deployment.set_faults(deployment.platform_url, down=True)
             await asyncio.sleep(1.0)
-            await deployment.fault(deployment.platform_url, down=False)
+            await deployment.set_faults(deployment.platform_url, down=False)
             await applying
             seconds.append(time.monotonic() - started_at)
         yield _in_force_figure(
@@ -203,7 +205,9 @@
     """Apply a change; retry while the platform is down."""
     folder = deployment.write_services(queue_per_slot=number + 1)
     for _ in range(20):
-        status, out, _ = await deployment.operate("apply", str(folder), "--wait")
+        status, out, _ = await deployment.run_operator_command(
+            "apply", str(folder), "--wait"
+        )
         if status == 0:
             return float(re.search(r"after ([0-9.]+) s", out)[1])
         await asyncio.sleep(0.2)
@@ -232,7 +236,7 @@
         started_at = time.monotonic()
         for number in range(1, 6):
             await deployment.start_pair(f"maps-{10 + number}", "maps")
-            await deployment.retire_pair(f"maps-{number}")
+            await deployment.shut_down_pair(f"maps-{number}")
         seconds = time.monotonic() - started_at
         yield _rate_figure("rollout", after, await _control(deployment, names), seconds)
     finally:
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -172,13 +172,13 @@
         node.signal(signal.SIGTERM)
         if step.subject.startswith("lb-"):
             await asyncio.sleep(0.5)  # until the fabric's health check fails
-            self.deployment.rotate(step.subject, out=True)
+            self.deployment.update_rotation(step.subject, out=True)
         await node.wait()
         await self._start(step.subject)
 
     async def _start(self, name: str) -> None:
         if name.startswith("lb-"):
-            self.deployment.rotate(name, out=True)
+            self.deployment.update_rotation(name, out=True)
             await self.deployment.start_balancer(name)
         else:
             await self.deployment.start_agent(name, name.split("-")[0])
--- a/monsoonpier/agent/balancer_link.py
+++ b/monsoonpier/agent/balancer_link.py
@@ -210,10 +210,10 @@
         to seeds need no such limit.
         """
         read_backoff = Backoff(
-            first_seconds=MIN_FIND_SECONDS, most_seconds=MAX_FIND_SECONDS
+            initial_seconds=MIN_FIND_SECONDS, max_seconds=MAX_FIND_SECONDS
         )
         announce_backoff = Backoff(
-            first_seconds=MIN_ANNOUNCE_SECONDS, most_seconds=MAX_ANNOUNCE_SECONDS
+            initial_seconds=MIN_ANNOUNCE_SECONDS, max_seconds=MAX_ANNOUNCE_SECONDS
         )
         # Read at once: balancers registered earlier are likely to be up again
         # soon.
@@ -247,7 +247,7 @@
 
     async def _read_store(self) -> None:
         try:
-            found = await self._store.read(BALANCERS, prefix=True, may_be_old=True)
+            found = await self._store.read(BALANCERS, prefix=True, may_be_stale=True)
         except StoreError as error:
             _log.info("reading balancers from the store failed", reason=str(error))
             return
--- a/monsoonpier/agent/heartbeat_peers.py
+++ b/monsoonpier/agent/heartbeat_peers.py
@@ -95,7 +95,7 @@
 
     def next_epoch(self, ack: HeartbeatAck, *, epoch: int) -> int | None:
         """Return the epoch to use if a balancer has a later one of this agent."""
-        return ack.held_epoch + 1 if ack.held_epoch > epoch else None
+        return ack.known_epoch + 1 if ack.known_epoch > epoch else None
 
     def require_announcements(self) -> None:
         """Make the next message to each balancer an announcement."""
--- a/monsoonpier/agent/packets/owner.py
+++ b/monsoonpier/agent/packets/owner.py
@@ -236,7 +236,7 @@
         """Return which of the queried flows the target owns."""
         owned = tuple(flow for flow in query.flows if self._owns(flow))
         # The target never owns flows of another service.
-        is_sure = (
+        is_conclusive = (
             self._target_state.knows_all_flows
             or self.condition is Condition.GONE
             or query.service != self._service
@@ -245,7 +245,7 @@
             question=query.question,
             agent=self._name,
             held=owned,
-            is_sure=is_sure,
+            is_conclusive=is_conclusive,
             run_ms=self._target_state.run_ms(now=now),
             is_absent=self.is_absent,
         )
@@ -324,7 +324,7 @@
         flow.seen_at = now
         if flow.is_open:
             actions = self._deliver(packet, flow, now=now)
-            if frame.asks:
+            if frame.wants_reply:
                 actions.append(
                     self._owned_reply(packet.flow, sender=sender, is_open=True, now=now)
                 )
@@ -343,7 +343,10 @@
         """
         self.counts_by_result["passed_on"] += len(frame.endpoints)
         carry = ForwardPacket(
-            service=frame.service, payload=frame.payload, asks=True, reply_to=balancer
+            service=frame.service,
+            payload=frame.payload,
+            wants_reply=True,
+            reply_to=balancer,
         )
         return [ToProcess(endpoint=place, frame=carry) for place in frame.endpoints]
 
@@ -375,14 +378,14 @@
         first = flow.target_sequence
         if first is None or not packet.is_ack:
             return self._not_owned_reply(
-                packet, sender=sender, now=now, omit_payload=frame.asks
+                packet, sender=sender, now=now, omit_payload=frame.wants_reply
             )
         if sequence_distance(first, packet.acknowledged) > MAX_OPENING_BYTES:
             # A retransmission of the SYN has opened the flow at another
             # target.
             self._remove(packet.flow, now=now)
             return self._not_owned_reply(
-                packet, sender=sender, now=now, omit_payload=frame.asks
+                packet, sender=sender, now=now, omit_payload=frame.wants_reply
             )
         self._admission.record_response_time(now - flow.phase_began_at)
         self._mark_open(packet.flow, flow, now=now)
@@ -428,7 +431,7 @@
         has_ended = self.condition is Condition.GONE
         if self._target_state.knows_all_flows or has_ended or not may_be_owned:
             return self._not_owned_reply(
-                packet, sender=sender, now=now, omit_payload=frame.asks
+                packet, sender=sender, now=now, omit_payload=frame.wants_reply
             )
         self._flows_by_address[packet.flow] = PacketFlow(
             caller_ip=packet.caller_ip,
@@ -437,7 +440,7 @@
             phase_began_at=now,
             acknowledged=packet.acknowledged,
             probe_packet=packet,
-            balancer_keeps_packet=frame.asks,
+            balancer_keeps_packet=frame.wants_reply,
         )
         self.counts_by_result["guessed"] += 1
         self._log.note("unknown flow probed at the target", now=now, flow=packet.flow)
--- a/monsoonpier/agent/packets/process.py
+++ b/monsoonpier/agent/packets/process.py
@@ -98,19 +98,19 @@
         self._started = time.monotonic()
         self._frame_codec = FrameCodec(keys=settings.keys)
         self._sender = LinkSender(bits_per_second=settings.link_bits_per_second)
-        self._holder = PacketFlowOwner(
+        self._owner = PacketFlowOwner(
             name=settings.name,
             service=settings.target.service,
             slots=settings.target.slots,
             connections=settings.target.connections,
-            log=DecisionLog("monsoonpier.agent.packets.holder"),
+            log=DecisionLog("monsoonpier.agent.packets.owner"),
         )
         self._link = BalancerLink(
             settings=settings,
             store=store,
             record=target_record(settings, instance=b""),
             send=self._send_frame,
-            read_load=lambda: self._holder.load(now=_now()),
+            read_load=lambda: self._owner.load(now=_now()),
             configure=None,
             evacuate=self._evacuate,
             draw=self._draw,
@@ -173,16 +173,16 @@
         self._control.stop()
         self._internal.close()
         self._outbound.close()
-        _log.info("stopped", **self._holder.target_load.use.total.fields)
+        _log.info("stopped", **self._owner.target_load.use.total.fields)
 
     async def _shut_down(self) -> None:
         """Announce the target's condition, then wait for requests in flight."""
-        await self._life.wait_for_leaving()
+        await self._life.wait_for_shutdown()
         began = _now()
         if self._has_target_left:
             # The target has left, and agents are stopped only after it has
             # ended.
-            self._perform(self._holder.target_ended(now=_now()))
+            self._perform(self._owner.target_ended(now=_now()))
             await self._announce_gone()
         elif await self._wait_until_absent():
             await self._announce_gone()
@@ -190,7 +190,7 @@
             # The target may keep running, and another agent may start beside
             # it.
             self._set_condition(Condition.SHEDDING)
-        while self._holder.busy and _now() - began < MAX_SHUTDOWN_SECONDS:
+        while self._owner.busy and _now() - began < MAX_SHUTDOWN_SECONDS:
             await asyncio.sleep(0.02)
         self._life.step("finished")
 
@@ -210,11 +210,11 @@
         agent announces its target as gone.
         """
         until = _now() + MAX_ABSENT_SECONDS
-        while not (self._holder.has_seen_target or self._holder.has_no_target):
+        while not (self._owner.has_seen_target or self._owner.has_no_target):
             if _now() > until:
                 break  # The address no longer answers at all.
             await asyncio.sleep(ABSENT_CHECK_SECONDS)
-        return self._holder.has_no_target
+        return self._owner.has_no_target
 
     # Messages and liveness of the target
 
@@ -229,14 +229,14 @@
 
     def _handle_heartbeat(self, heartbeat: TargetHeartbeat) -> bool:
         """Apply a heartbeat unless it is stale; return that it is acknowledged."""
-        holder = self._holder
+        owner = self._owner
         match self._instances.classify(heartbeat, has_ended=self._has_target_ended):
             case StaleHeartbeat():
                 _log.info(
                     "stale heartbeat ignored",
                     instance=heartbeat.run.instance.decode(),
                     sequence=heartbeat.sequence,
-                    served=holder.instance.decode(),
+                    served=owner.instance.decode(),
                 )
                 return True
             case NewInstance():
@@ -244,11 +244,11 @@
                 is_new = True
             case _:
                 is_new = False
-        holder.target_load.slots = heartbeat.slots
-        holder.target_load.set_cold_until(_now() + heartbeat.cold_seconds)
+        owner.target_load.slots = heartbeat.slots
+        owner.target_load.set_cold_until(_now() + heartbeat.cold_seconds)
         self._life.step("configured")
         may_be_delayed = _now() - self._gone_at < MAX_HEARTBEAT_DELAY_SECONDS
-        if not is_new and may_be_delayed and holder.condition is Condition.UNRESPONSIVE:
+        if not is_new and may_be_delayed and owner.condition is Condition.UNRESPONSIVE:
             return True  # Probably sent before the target ended.
         condition = Condition.LEAVING if heartbeat.is_draining else Condition.SERVING
         if self._life.state == "leaving" and not heartbeat.is_draining:
@@ -258,7 +258,7 @@
 
     @property
     def _has_target_ended(self) -> bool:
-        return self._has_target_left or self._holder.condition is Condition.UNRESPONSIVE
+        return self._has_target_left or self._owner.condition is Condition.UNRESPONSIVE
 
     def _begin_instance(self, heartbeat: TargetHeartbeat) -> None:
         """Serve a new instance of the target and reset flows of the last one."""
@@ -272,14 +272,14 @@
         )
         self._has_target_left = False
         self._link.set_instance(instance, slots=heartbeat.slots)
-        resets = self._holder.instance_started(
+        resets = self._owner.instance_started(
             instance,
             is_first=heartbeat.sequence <= 1,
             is_young=heartbeat.cold_seconds > 0,
             now=_now(),
         )
         self._perform(resets)
-        self._perform(self._holder.answer_pending(now=_now()))
+        self._perform(self._owner.answer_pending(now=_now()))
 
     def _handle_leave(self, notice: LeaveNotice) -> bool:
         """Stop taking new flows if the current instance of the target leaves."""
@@ -300,7 +300,7 @@
         A target that is leaving reports it with its next heartbeat, within
         about a second.
         """
-        if self._holder.condition is Condition.STARTING:
+        if self._owner.condition is Condition.STARTING:
             self._life.step("configured")
             self._set_condition(Condition.SERVING)
 
@@ -310,16 +310,16 @@
         A leaving target is an exception, since it may only have stopped
         listening.
         """
-        if self._has_target_left or self._holder.condition is Condition.UNRESPONSIVE:
+        if self._has_target_left or self._owner.condition is Condition.UNRESPONSIVE:
             return
-        if self._holder.condition is Condition.LEAVING:
+        if self._owner.condition is Condition.LEAVING:
             # Its leave notice may have been lost. It may keep running without
             # listening, and own flows, until its VM is stopped.
             self._has_target_left = True
             _log.info("draining target does not listen")
             return
         self._gone_at = _now()
-        resets = self._holder.target_ended(now=self._gone_at)
+        resets = self._owner.target_ended(now=self._gone_at)
         _log.warning("target does not listen", flows=len(resets))
         self._set_condition(Condition.UNRESPONSIVE)
         self._perform(resets)
@@ -331,16 +331,16 @@
         target after a loss of power may be stopped before any balancer sends
         one.
         """
-        self._holder.note_no_listener(now=_now())
-        if self._holder.is_absent and not self._link.record.is_absent:
+        self._owner.note_no_listener(now=_now())
+        if self._owner.is_absent and not self._link.record.is_absent:
             self._link.announce_no_target()
 
     def _set_condition(self, condition: Condition, *, announce: bool = False) -> None:
         """Set the target's condition and announce it if it has changed."""
-        if condition is self._holder.condition and not announce:
+        if condition is self._owner.condition and not announce:
             return
-        before = self._holder.condition
-        self._holder.condition = condition
+        before = self._owner.condition
+        self._owner.condition = condition
         self._link.announce(condition)
         self._report_soon()
         _log.info(
@@ -351,12 +351,12 @@
         """Apply the limit of the configuration, unless a newer one is known."""
         if ack.version >= self._cold_limit_version:
             self._cold_limit_version = ack.version
-            self._holder.target_load.cold.per_second = ack.cold_per_second
+            self._owner.target_load.cold.per_second = ack.cold_per_second
 
     def _evacuate(self) -> None:
         """Apply a new evacuation order, also to SYNs that wait here."""
-        self._holder.is_evacuated = self._link.is_evacuated
-        self._perform(self._holder.expire(now=_now()))
+        self._owner.is_evacuated = self._link.is_evacuated
+        self._perform(self._owner.expire(now=_now()))
 
     # Packets and frames
 
@@ -368,15 +368,15 @@
             case ForwardPacket():
                 self._receive_carried(frame, sender=frame.reply_to or sender)
             case RelayPacket(service=service, payload=payload):
-                self._perform(self._holder.relay(frame, balancer=sender))
-                own = ForwardPacket(service=service, payload=payload, asks=True)
+                self._perform(self._owner.relay(frame, balancer=sender))
+                own = ForwardPacket(service=service, payload=payload, wants_reply=True)
                 self._receive_carried(own, sender=sender)
             case OwnershipQuery():
-                self._perform(self._holder.ask(frame, sender=sender, now=_now()))
+                self._perform(self._owner.ask(frame, sender=sender, now=_now()))
             case ReserveSlot():
-                self._perform(self._holder.reserve(frame, balancer=sender, now=_now()))
+                self._perform(self._owner.reserve(frame, balancer=sender, now=_now()))
             case DeclineSlot():
-                self._perform(self._holder.declined(balancer=sender, now=_now()))
+                self._perform(self._owner.declined(balancer=sender, now=_now()))
             case HeartbeatAck():
                 self._link.handle_ack(frame)
                 self._apply_cold_limit(frame)
@@ -392,7 +392,7 @@
         if isinstance(packet, Dropped):
             self._drop(packet.reason)
             return
-        actions = self._holder.from_balancer(frame, packet, sender=sender, now=_now())
+        actions = self._owner.from_balancer(frame, packet, sender=sender, now=_now())
         self._perform(actions)
 
     def _receive_packet(self, data: bytes, sender: tuple[str, int]) -> None:
@@ -400,7 +400,7 @@
         if isinstance(packet, Dropped):
             self._drop(packet.reason)
             return
-        self._perform(self._holder.from_target(packet, now=_now()))
+        self._perform(self._owner.from_target(packet, now=_now()))
 
     def _perform(self, actions: list) -> None:
         for action in actions:
@@ -419,13 +419,13 @@
                     )
         self._report_soon()
 
-        if self._expiry_timer is None and self._holder.is_waiting:
+        if self._expiry_timer is None and self._owner.is_waiting:
             loop = asyncio.get_running_loop()
             self._expiry_timer = loop.call_later(EXPIRY_CHECK_SECONDS, self._run_expiry)
 
     def _run_expiry(self) -> None:
         self._expiry_timer = None
-        self._perform(self._holder.expire(now=_now()))
+        self._perform(self._owner.expire(now=_now()))
 
     def _report_soon(self) -> None:
         if self._report_timer is None:
@@ -434,7 +434,7 @@
 
     def _report(self) -> None:
         self._report_timer = None
-        for action in self._holder.load_reports(now=_now()):
+        for action in self._owner.load_reports(now=_now()):
             self._send_frame(action.frame, action.endpoint)
 
     def _send_frame(self, frame, endpoint: tuple[str, int]) -> None:
@@ -462,8 +462,8 @@
     async def _tick_forever(self) -> None:
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            self._perform(self._holder.tick(now=_now()))
-            self._perform(self._holder.answer_pending(now=_now()))
+            self._perform(self._owner.tick(now=_now()))
+            self._perform(self._owner.answer_pending(now=_now()))
 
     # Control
 
@@ -477,7 +477,7 @@
                     state=self._life.state,
                     version=0,
                     uptime=_now() - self._started,
-                    slot_use=self._holder.target_load.use_fields,
+                    slot_use=self._owner.target_load.use_fields,
                 )
             case DrainRequest():
                 name = self._settings.name
@@ -486,14 +486,14 @@
 
     def _metrics(self):
         yield gauge("uptime_seconds", "Time since start.", _now() - self._started)
-        yield gauge("flows", "Flows that the target owns.", self._holder.flows)
-        yield gauge("busy", "Requests in flight at the target.", self._holder.busy)
-        failed = self._holder.target_load.failed_percent(now=_now())
+        yield gauge("flows", "Flows that the target owns.", self._owner.flows)
+        yield gauge("busy", "Requests in flight at the target.", self._owner.busy)
+        failed = self._owner.target_load.failed_percent(now=_now())
         yield gauge("failed_percent", "Recent requests that failed, in %.", failed)
-        yield self._holder.target_load.answer_seconds
-        yield from self._holder.target_load.readings
+        yield self._owner.target_load.answer_seconds
+        yield from self._owner.target_load.readings
         yield from self._sender.metrics
-        results = self._holder.counts_by_result
+        results = self._owner.counts_by_result
         yield counter("flow_decisions", "Decisions on flows.", results, "result")
         drops = self._dropped_by_reason
         yield counter("dropped_datagrams", "Datagrams dropped.", drops, "reason")
--- a/monsoonpier/agent/tokens/flows.py
+++ b/monsoonpier/agent/tokens/flows.py
@@ -54,7 +54,7 @@
 class Request(msgspec.Struct, kw_only=True):
     """One request of a flow and, once it is finished, its outcome.
 
-    Parts 0 to ``have_below`` - 1 have been received; ``highest`` is the
+    Parts 0 to ``received_below`` - 1 have been received; ``highest`` is the
     highest part received, ``received_datagrams`` counts duplicates too.
     ``deadline`` is a monotonic time in seconds.
     """
@@ -66,7 +66,7 @@
     deadline: float
     stage: Stage = Stage.RECEIVING
     body_by_part: dict[int, bytes] = msgspec.field(default_factory=dict)
-    have_below: int = 0
+    received_below: int = 0
     highest: int = -1
     received_datagrams: int = 0
     outcome: FinalStatus | Answer | None = None
@@ -74,18 +74,18 @@
     @property
     def is_complete(self) -> bool:
         """Whether every part has been received."""
-        return self.have_below == self.parts
+        return self.received_below == self.parts
 
     @property
     def has_gap(self) -> bool:
         """Whether an earlier part than the highest one is missing."""
-        return self.highest >= self.have_below
+        return self.highest >= self.received_below
 
     def missing(self, most: int) -> tuple[int, ...]:
         """Return the numbers of up to ``most`` missing parts, in order."""
         missing = (
             part
-            for part in range(self.have_below, self.highest)
+            for part in range(self.received_below, self.highest)
             if part not in self.body_by_part
         )
         return tuple(itertools.islice(missing, most))
@@ -97,8 +97,8 @@
             return False
         self.body_by_part[part] = body
         self.highest = max(self.highest, part)
-        while self.have_below in self.body_by_part:
-            self.have_below += 1
+        while self.received_below in self.body_by_part:
+            self.received_below += 1
         return True
 
     def take_body(self) -> bytes:
--- a/monsoonpier/agent/tokens/process.py
+++ b/monsoonpier/agent/tokens/process.py
@@ -138,7 +138,7 @@
 
     async def _drain_and_finish(self) -> None:
         """Wait for a shutdown, drain, and announce that the target is gone."""
-        await self._life.wait_for_leaving()
+        await self._life.wait_for_shutdown()
         self._shutdown_requested = True
         self._execute(self._owner.leave(now=_now()))
         self._link.announce(self._owner.lifecycle.condition)
--- a/monsoonpier/agent/tokens/replies.py
+++ b/monsoonpier/agent/tokens/replies.py
@@ -17,12 +17,12 @@
     """Return a message that says which parts of a request have been received."""
     if request.stage is not Stage.RECEIVING:
         return Progress(
-            flow=flow.id, request=request.id, have_below=request.parts, whole=True
+            flow=flow.id, request=request.id, received_below=request.parts, whole=True
         )
     return Progress(
         flow=flow.id,
         request=request.id,
-        have_below=request.have_below,
+        received_below=request.received_below,
         missing=request.missing(MAX_MISSING),
     )
 
--- a/monsoonpier/agent/tokens/requests.py
+++ b/monsoonpier/agent/tokens/requests.py
@@ -150,7 +150,7 @@
             return [already_done(flow, request_id)]
         request = flow.requests_by_id.get(request_id)
         if request is None:
-            return [Progress(flow=flow.id, request=request_id, have_below=0)]
+            return [Progress(flow=flow.id, request=request_id, received_below=0)]
         if request.stage is Stage.FINISHED:
             return self.outcome(flow, request, missing=missing)
         return [progress(flow, request)]
--- a/monsoonpier/balancer/configuration_copy.py
+++ b/monsoonpier/balancer/configuration_copy.py
@@ -78,16 +78,16 @@
         self._mod_revision = NO_REVISION
         self._version = 0
 
-    async def read(self, *, may_be_old: bool = False) -> ConfigurationCopy | None:
+    async def read(self, *, may_be_stale: bool = False) -> ConfigurationCopy | None:
         """Return the copy in the store, if there is a valid one.
 
         Args:
-            may_be_old: Allow the store to answer with a value that is seconds old.
+            may_be_stale: Allow the store to answer with a value that is seconds old.
 
         Raises:
             StoreError: If the store can't be reached.
         """
-        snapshot = await self._store.read(CONFIGURATION_COPY, may_be_old=may_be_old)
+        snapshot = await self._store.read(CONFIGURATION_COPY, may_be_stale=may_be_stale)
         value = snapshot.values_by_key.get(CONFIGURATION_COPY)
         if value is None:
             self.assume_lost()
--- a/monsoonpier/balancer/membership.py
+++ b/monsoonpier/balancer/membership.py
@@ -62,7 +62,7 @@
         self.started_at = started_at
         self._differing_peer: str | None = None
 
-    def is_settled(self, *, now: float) -> bool:
+    def is_converged(self, *, now: float) -> bool:
         """Return whether all reachable targets are likely to be known."""
         needed = AGREED_SECONDS if self.has_agreed else ALONE_SECONDS
         return now - self.started_at >= needed
@@ -134,7 +134,7 @@
             allowed=allowed,
             leaving=self.peers.own.leaving,
             balancers=balancers,
-            held_epoch=record.epoch if record is not None else 0,
+            known_epoch=record.epoch if record is not None else 0,
             evacuation=self.evacuations.of(record.data_centre) if record else None,
             cold_per_second=cold_per_second,
         )
@@ -179,7 +179,9 @@
             self._differing_peer = None
             self._record_agreement(frame)
             return False
-        if not len(self.table) or (frame.is_converged and not self.is_settled(now=now)):
+        if not len(self.table) or (
+            frame.is_converged and not self.is_converged(now=now)
+        ):
             return True
         differed_before = self._differing_peer is not None
         self._differing_peer = None if differed_before else frame.sender.name
@@ -230,7 +232,7 @@
         answer = self.peers.answer_without_updates(
             version=self.configuration.version,
             digest=self.table.digest,
-            is_converged=self.is_settled(now=now),
+            is_converged=self.is_converged(now=now),
             evacuations=self.evacuations.known,
             store_generation=self.store_generation.number,
             draw=draw,
@@ -255,7 +257,7 @@
             version=self.configuration.version,
             digest=self.table.digest,
             is_answer=is_answer,
-            is_converged=self.is_settled(now=now),
+            is_converged=self.is_converged(now=now),
             evacuations=self.evacuations.known,
             store_generation=self.store_generation.number,
             draw=draw,
--- a/monsoonpier/balancer/node.py
+++ b/monsoonpier/balancer/node.py
@@ -60,7 +60,7 @@
 FIRST_JOIN_SECONDS = 0.03  # first interval of join messages
 MAX_JOIN_SECONDS = 0.2
 JOIN_PEERS = 4  # beside the seeds
-_log = structlog.get_logger("monsoonpier.balancer.member")
+_log = structlog.get_logger("monsoonpier.balancer.node")
 
 
 def balancer_record(settings: Settings) -> BalancerRecord:
@@ -277,7 +277,7 @@
             if before.of(order.data_centre) == order:
                 continue
             _log.info(
-                "evacuation in force" if order.is_active else "evacuation taken back",
+                "evacuation in force" if order.is_active else "evacuation revoked",
                 data_centre=order.data_centre,
                 revision=order.revision,
                 generation=order.generation,
@@ -303,7 +303,7 @@
     async def _gossip_forever(self) -> None:
         """Send gossip rounds at intervals, and at once when there are updates."""
         join_backoff = Backoff(
-            first_seconds=FIRST_JOIN_SECONDS, most_seconds=MAX_JOIN_SECONDS
+            initial_seconds=FIRST_JOIN_SECONDS, max_seconds=MAX_JOIN_SECONDS
         )
         while True:
             self._send_round(eager=False)
@@ -350,7 +350,7 @@
             self._gossip_to(endpoint)
 
     def _gossip_to(self, endpoint: tuple[str, int]) -> None:
-        self.do(self._membership.greeting(endpoint, now=_now(), draw=self._draw))
+        self.do(self._membership.extra_gossip(endpoint, now=_now(), draw=self._draw))
 
     async def _keep_contact_forever(self) -> None:
         """Probe peers when no frames arrive, and log lost and regained contact."""
--- a/monsoonpier/balancer/packets/backlog.py
+++ b/monsoonpier/balancer/packets/backlog.py
@@ -223,9 +223,9 @@
         entry = self._context.flows.get(frame.flow)
         if entry is None or entry.syn is None:
             return []
-        asked_at = now - frame.asked_ms / 1000
+        first_attempt_at = now - frame.first_attempt_age_ms / 1000
         entry.link_earlier_attempt(
-            EarlierAttempt(asked_at=asked_at, attempts=frame.tries)
+            EarlierAttempt(first_attempt_at=first_attempt_at, attempts=frame.tries)
         )
         self._context.counts_by_result["asked_before"] += 1
         self._context.log.note(
@@ -242,7 +242,7 @@
         if route is None:
             return []
         table = self._context.membership.table
-        candidates = without_failing(table.candidates_of(entry.service, now=now))
+        candidates = without_failing(table.packet_candidates(entry.service, now=now))
         waiting = _waiting_flow(
             flow,
             entry,
--- a/monsoonpier/balancer/packets/context.py
+++ b/monsoonpier/balancer/packets/context.py
@@ -165,7 +165,7 @@
 
     def is_converged(self, *, now: float) -> bool:
         """Return whether all reachable targets are likely to be known."""
-        return self.membership.is_settled(now=now)
+        return self.membership.is_converged(now=now)
 
     def knows_all_owners_of(self, services: Collection[str], *, now: float) -> bool:
         """Return whether no unknown target can own a flow of these services."""
@@ -236,7 +236,7 @@
         record = self.membership.table.record(name)
         if record is not None and record.condition is not Condition.STARTING:
             return False
-        known_for = self.membership.table.known_for(name, now=now)
+        known_for = self.membership.table.record_age(name, now=now)
         is_long_absent = record is not None and record.is_absent
         is_long_absent &= known_for >= ABSENT_SECONDS
         return is_long_absent or self.instances.is_absent(name, now=now)
@@ -260,7 +260,7 @@
     def _had_time_to_report(self, name: str, *, now: float) -> bool:
         """Return whether an agent would have reported its target by now."""
         record = self.membership.table.record(name)
-        known_for = self.membership.table.known_for(name, now=now)
+        known_for = self.membership.table.record_age(name, now=now)
         return known_for >= TARGET_DISCOVERY_SECONDS or (
             record is not None and record.is_absent
         )
@@ -276,7 +276,7 @@
         entry: FlowEntry,
         *,
         names: Iterable[str],
-        asks: bool = False,
+        wants_reply: bool = False,
     ) -> list[ToAgent]:
         """Return the frames that forward a packet to these targets.
 
@@ -284,7 +284,7 @@
             packet: The caller's packet.
             entry: The flow's entry in the flow table.
             names: Names of the targets.
-            asks: Whether the agents must answer if they don't own the flow.
+            wants_reply: Whether the agents must answer if they don't own the flow.
         """
         tried = entry.tried[-MAX_TRIED:] if packet.is_syn else ()
         return [
@@ -294,7 +294,7 @@
                     service=self._service_at(record, packet, entry),
                     payload=packet.raw,
                     tried=tried,
-                    asks=asks,
+                    wants_reply=wants_reply,
                 ),
                 flow=packet.flow,
             )
--- a/monsoonpier/balancer/packets/directory.py
+++ b/monsoonpier/balancer/packets/directory.py
@@ -103,7 +103,7 @@
     def reply(self, frame: DirectoryQuery) -> DirectoryReply:
         """Return the reply to a query, with an empty owner if none is stored."""
         return DirectoryReply(
-            flow=frame.flow, holder=self._owners_by_flow.get(frame.flow, "")
+            flow=frame.flow, owner=self._owners_by_flow.get(frame.flow, "")
         )
 
     def _store(self, flow: bytes, owner: str) -> None:
--- a/monsoonpier/balancer/packets/first_attempts.py
+++ b/monsoonpier/balancer/packets/first_attempts.py
@@ -55,9 +55,9 @@
         frame = AttemptRejected(
             caller=packet.caller_ip,
             service=_endpoint(packet.service_address),
-            asked_ms=to_milliseconds(now - earlier.asked_at),
+            first_attempt_age_ms=to_milliseconds(now - earlier.first_attempt_at),
             tries=earlier.attempts,
-            back_ms=to_milliseconds(back_at - now),
+            next_attempt_ms=to_milliseconds(back_at - now),
         )
         return [ToAgent(endpoint=balancer.endpoint, frame=frame)]
 
@@ -73,7 +73,7 @@
             flow=packet.flow,
             caller=packet.caller_ip,
             service=_endpoint(packet.service_address),
-            waited_ms=to_milliseconds(packet.waited),
+            syn_age_ms=to_milliseconds(packet.waited),
         )
         return [ToAgent(endpoint=balancer.endpoint, frame=frame)]
 
@@ -82,15 +82,18 @@
         self._returning.record(
             frame.caller,
             _address(frame.service),
-            EarlierAttempt(asked_at=now - frame.asked_ms / 1000, attempts=frame.tries),
-            back_at=now + frame.back_ms / 1000,
+            EarlierAttempt(
+                first_attempt_at=now - frame.first_attempt_age_ms / 1000,
+                attempts=frame.tries,
+            ),
+            back_at=now + frame.next_attempt_ms / 1000,
         )
 
     def reply(
         self, frame: FirstAttemptQuery, *, sender: tuple[str, int], now: float
     ) -> list[ToAgent]:
         """Return the reply to a query; none if the caller has no record here."""
-        came_at = now - frame.waited_ms / 1000
+        came_at = now - frame.syn_age_ms / 1000
         earlier = self._returning.claim(
             frame.caller, _address(frame.service), came_at=came_at, now=now
         )
@@ -98,7 +101,7 @@
             return []
         reply = FirstAttemptReply(
             flow=frame.flow,
-            asked_ms=to_milliseconds(now - earlier.asked_at),
+            first_attempt_age_ms=to_milliseconds(now - earlier.first_attempt_at),
             tries=earlier.attempts,
         )
         return [ToAgent(endpoint=sender, frame=reply)]
--- a/monsoonpier/balancer/packets/flows.py
+++ b/monsoonpier/balancer/packets/flows.py
@@ -104,7 +104,7 @@
 
     def link_earlier_attempt(self, earlier: EarlierAttempt) -> None:
         """Treat the flow as a further attempt of a request that was rejected before."""
-        self.first_attempt_at = min(self.first_attempt_at, earlier.asked_at)
+        self.first_attempt_at = min(self.first_attempt_at, earlier.first_attempt_at)
         self.attempts = earlier.attempts + 1
 
 
--- a/monsoonpier/balancer/packets/new_flows.py
+++ b/monsoonpier/balancer/packets/new_flows.py
@@ -122,7 +122,7 @@
             latest_syn_offset=packet.waited,
             syn=packet,
         )
-        earlier = self._context.returning_callers.earlier(packet, now=now)
+        earlier = self._context.returning_callers.find_earlier(packet, now=now)
         if earlier is not None:
             entry.link_earlier_attempt(earlier)
         self._context.flows.put(packet.flow, entry)
@@ -131,7 +131,7 @@
 
     def on_accepted(self, frame: FlowOwned, *, now: float) -> None:
         """Record that a target has answered a SYN."""
-        self._context.membership.table.answered_flow(frame.agent)
+        self._context.membership.table.record_flow_answered(frame.agent)
         entry = self._context.flows.get(frame.flow)
         if entry is None:
             return
@@ -142,8 +142,8 @@
     def on_queued(self, frame: SynQueued, *, now: float) -> list:
         """Record that an agent has queued a SYN for a slot."""
         table = self._context.membership.table
-        table.heard(frame.agent, frame.load, now=now)
-        table.answered_flow(frame.agent)
+        table.record_load(frame.agent, frame.load, now=now)
+        table.record_flow_answered(frame.agent)
         self._context.counts_by_result["queued"] += 1
         entry = self._context.flows.get(frame.flow)
         if entry is None or entry.syn is None or entry.owners[-1:] != (frame.agent,):
@@ -158,8 +158,8 @@
     ) -> list:
         """Place or queue a SYN again that an agent has rejected."""
         table = self._context.membership.table
-        table.heard(frame.agent, frame.load, now=now)
-        table.answered_flow(frame.agent)
+        table.record_load(frame.agent, frame.load, now=now)
+        table.record_flow_answered(frame.agent)
         self._context.counts_by_result["turned"] += 1
         self._context.log.note(
             "flow rejected by agent",
@@ -181,7 +181,7 @@
 
     def on_offer(self, frame: OfferSlot, *, now: float) -> list:
         """Send the first queued flow to an agent that offers a slot."""
-        self._context.membership.table.heard(frame.agent, frame.load, now=now)
+        self._context.membership.table.record_load(frame.agent, frame.load, now=now)
         actions: list = []
         while (claimed := self._backlog.claim(frame, now=now)) is not None:
             flow, cancellations = claimed
@@ -195,7 +195,7 @@
                 continue
             self._context.counts_by_result["taken_up"] += 1
             table = self._context.membership.table
-            candidates = table.candidates_of(entry.service, now=now)
+            candidates = table.packet_candidates(entry.service, now=now)
             return actions + self._send_syn(
                 entry.syn,
                 entry,
@@ -222,7 +222,7 @@
     ) -> list:
         """Send a SYN to the best target, or queue it if none has room."""
         table = self._context.membership.table
-        candidates = without_failing(table.candidates_of(entry.service, now=now))
+        candidates = without_failing(table.packet_candidates(entry.service, now=now))
         if len(entry.tried) >= MAX_PLACEMENTS:
             return self._enqueue(packet, entry, candidates, now=now, draw=draw)
         route = self._context.route(packet)
@@ -260,7 +260,7 @@
         entry.owners = (*entry.owners, name)[-MAX_TRIED:]
         entry.tried = (*entry.tried, name)
         entry.syn_sent_at = now
-        self._context.membership.table.sent_flow(name, now=now)
+        self._context.membership.table.record_flow_sent(name, now=now)
         self._unanswered.append((now + HEDGE_SECONDS, packet.flow))
         self._hedges_left = min(MAX_HEDGES, self._hedges_left + HEDGE_SHARE)
         self._context.counts_by_result["placed"] += 1
@@ -320,7 +320,7 @@
         self._count_rejected(packet, entry, reason, now=now)
         back_at = entry.created_at + GIVE_UP_SECONDS if packet.waited else now
         earlier = EarlierAttempt(
-            asked_at=entry.first_attempt_at, attempts=entry.attempts
+            first_attempt_at=entry.first_attempt_at, attempts=entry.attempts
         )
         notices = self._context.first_attempts.note_rejection(
             packet, earlier, back_at=back_at, now=now
@@ -361,7 +361,9 @@
         """Place the queued flows of one service while targets have room."""
         actions: list = []
         for _ in range(self._backlog.waiting(service)):
-            candidates = self._context.membership.table.candidates_of(service, now=now)
+            candidates = self._context.membership.table.packet_candidates(
+                service, now=now
+            )
             usable = [c for c in without_failing(candidates) if not c.suspected]
             in_time = self._backlog.update_late(
                 service, now=now, run_seconds=median_service_seconds(usable)
@@ -400,7 +402,7 @@
                 target=entry.owners[-1],
                 waited_seconds=round(now - entry.syn_sent_at, 3),
             )
-            self._context.membership.table.not_answered(entry.owners[-1])
+            self._context.membership.table.record_flow_unanswered(entry.owners[-1])
             if self._hedges_left < 1:
                 continue
             self._hedges_left -= 1
--- a/monsoonpier/balancer/packets/owner_probes.py
+++ b/monsoonpier/balancer/packets/owner_probes.py
@@ -12,7 +12,7 @@
 from monsoonpier.balancer.packets.context import SteeringContext
 from monsoonpier.balancer.packets.flows import FlowEntry, OwnerLookup
 from monsoonpier.model.rendezvous import top
-from monsoonpier.wire.frames import MAX_PASSED_ON, RelayPacket
+from monsoonpier.wire.frames import MAX_RELAY_AGENTS, RelayPacket
 from monsoonpier.wire.packet import Packet
 
 __all__ = ["OwnerProbes"]
@@ -44,7 +44,9 @@
         lookup.probed_at_by_name[agent] = now
         packet = _choose_probe(lookup)
         if len(lookup.probed_at_by_name) <= MAX_DIRECT_PROBES:
-            return self._context.forward(packet, entry, names=(agent,), asks=True)
+            return self._context.forward(
+                packet, entry, names=(agent,), wants_reply=True
+            )
         if len(self._pending_flows) < MAX_PENDING_FLOWS:
             lookup.to_probe.add(agent)
             self._pending_flows[packet.flow] = None
@@ -79,7 +81,7 @@
         """Return frames that send a packet to all these agents, relayed by a few."""
         # Hashing spreads the relaying over the agents.
         ranked = list(top(packet.flow.hex(), names, count=len(names)))
-        size = MAX_PASSED_ON + 1
+        size = MAX_RELAY_AGENTS + 1
         groups = [ranked[start : start + size] for start in range(0, len(ranked), size)]
         return [
             action
--- a/monsoonpier/balancer/packets/owner_resolver.py
+++ b/monsoonpier/balancer/packets/owner_resolver.py
@@ -180,13 +180,13 @@
             return []
         lookup = entry.lookup
         lookup.pending_replies -= 1
-        is_possible_owner = self._context.is_possible_owner(frame.holder)
-        if is_possible_owner and frame.holder not in lookup.denied:
+        is_possible_owner = self._context.is_possible_owner(frame.owner)
+        if is_possible_owner and frame.owner not in lookup.denied:
             self._context.counts_by_result["found"] += 1
             self._context.log.note(
-                "owner found", now=now, flow=frame.flow, target=frame.holder
+                "owner found", now=now, flow=frame.flow, target=frame.owner
             )
-            entry.owners = (frame.holder,)
+            entry.owners = (frame.owner,)
             return self.finish_lookup(entry)
         if lookup.pending_replies > 0 or lookup.has_queried_agents:
             return []
@@ -230,7 +230,7 @@
                 entry.owners = (frame.agent,)
                 self.note_owner(flow, frame.agent, now=now)
                 actions += self.finish_lookup(entry)
-            elif frame.is_sure:
+            elif frame.is_conclusive:
                 actions += self._record_denial(
                     entry, flow, frame.agent, agents, now=now
                 )
@@ -341,8 +341,8 @@
         packet = lookup.packets[-1]
         self._context.flows.drop(packet.flow)
         reason = "nobody holds the flow"
-        self._context.returning_callers.refused(
-            packet, asked_at=lookup.started_at, now=now
+        self._context.returning_callers.record_reset(
+            packet, first_attempt_at=lookup.started_at, now=now
         )
         return [self._context.reset_caller(packet, reason, now=now)]
 
--- a/monsoonpier/balancer/packets/process.py
+++ b/monsoonpier/balancer/packets/process.py
@@ -124,7 +124,7 @@
 
     async def _leave_and_finish(self) -> None:
         """Leave the membership, and wait until packets have stopped arriving."""
-        await self._life.wait_for_leaving()
+        await self._life.wait_for_shutdown()
         began = _now()
         # A task, so that an unresponsive store doesn't delay callers' packets.
         leaving = asyncio.create_task(self._member.leave())
@@ -235,7 +235,7 @@
         yield gauge(
             "store_generation", "Last known generation of the store.", generation.number
         )
-        returns = generation.returns_by_source
+        returns = generation.restores_by_source
         yield counter(
             "store_returns", "Restores of the store from a backup.", returns, "source"
         )
--- a/monsoonpier/balancer/packets/reservations.py
+++ b/monsoonpier/balancer/packets/reservations.py
@@ -192,7 +192,7 @@
     def _candidates(self, service: str, *, now: float) -> list[Candidate]:
         """Return the targets of a service, without failing ones."""
         return without_failing(
-            self._context.membership.table.candidates_of(service, now=now)
+            self._context.membership.table.packet_candidates(service, now=now)
         )
 
 
--- a/monsoonpier/balancer/packets/returning.py
+++ b/monsoonpier/balancer/packets/returning.py
@@ -26,7 +26,7 @@
     """The attempts so far of a request that was rejected.
 
     Attributes:
-        asked_at: When the caller made its first attempt, as far as is known.
+        first_attempt_at: When the caller made its first attempt, as far as is known.
         attempts: How many attempts it has made.
     """
 
@@ -49,15 +49,17 @@
         ]
         self._rejections_by_caller = OrderedDict()
 
-    def record_reset(self, packet: Packet, *, asked_at: float, now: float) -> None:
+    def record_reset(
+        self, packet: Packet, *, first_attempt_at: float, now: float
+    ) -> None:
         """Record a caller whose flow is reset now.
 
         Args:
             packet: A packet of the flow, which names caller and service address.
-            asked_at: When the caller made its first attempt, if known.
+            first_attempt_at: When the caller made its first attempt, if known.
             now: The current time.
         """
-        earlier = EarlierAttempt(asked_at=asked_at)
+        earlier = EarlierAttempt(first_attempt_at=first_attempt_at)
         self.record(packet.caller_ip, packet.service_address, earlier, back_at=now)
 
     def find_earlier(self, packet: Packet, *, now: float) -> EarlierAttempt | None:
--- a/monsoonpier/balancer/packets/steering.py
+++ b/monsoonpier/balancer/packets/steering.py
@@ -106,7 +106,7 @@
         waits_by_service = {
             service: ServiceWaits(
                 flows=flows_by_service.get(service, ()),
-                candidates=self._context.membership.table.candidates_of(
+                candidates=self._context.membership.table.packet_candidates(
                     service, now=now
                 ),
             )
@@ -172,7 +172,7 @@
         match frame:
             case LoadUpdate(load=load):
                 table = self._context.membership.table
-                table.heard(table.name_at(sender), load, now=now)
+                table.record_load(table.name_at(sender), load, now=now)
                 return self._new_flows.place_waiting(now=now, draw=draw)
             case FlowOwned():
                 return self._on_flow_owned(frame, now=now)
@@ -198,7 +198,7 @@
     def _on_flow_owned(self, frame: FlowOwned, *, now: float) -> list:
         """Handle an agent's report that its target has accepted or owns a flow."""
         table = self._context.membership.table
-        table.heard(frame.agent, frame.load, now=now)
+        table.record_load(frame.agent, frame.load, now=now)
         record = table.record(frame.agent)
         if record is None:
             return []
--- a/monsoonpier/balancer/store_generation.py
+++ b/monsoonpier/balancer/store_generation.py
@@ -20,13 +20,13 @@
         number: The generation; 0 until one is learned, and for a store that was never
             restored.
         restores: How often a newer generation was learned.
-        returns_by_source: The same by source, ``"store"`` or ``"peer"``.
+        restores_by_source: The same by source, ``"store"`` or ``"peer"``.
     """
 
     def __init__(self) -> None:
         self.number = 0
         self.restores = 0
-        self.returns_by_source: dict[str, int] = {}
+        self.restores_by_source: dict[str, int] = {}
         self._known_since: float | None = None
 
     def learn(self, number: int, *, source: str, now: float) -> bool:
@@ -44,7 +44,7 @@
         if is_first:
             return False
         self.restores += 1
-        self.returns_by_source[source] = self.returns_by_source.get(source, 0) + 1
+        self.restores_by_source[source] = self.restores_by_source.get(source, 0) + 1
         return True
 
     def has_restate_time_passed(self, *, now: float) -> bool:
--- a/monsoonpier/balancer/store_link.py
+++ b/monsoonpier/balancer/store_link.py
@@ -161,16 +161,16 @@
         """Put the configuration copy in force, if there is one.
 
         The copy may be outdated; a newer configuration then follows from watchers
-        or peers. Evacuation orders are read without `may_be_old`, since no flow may
+        or peers. Evacuation orders are read without `may_be_stale`, since no flow may
         be placed before they are known.
         """
         try:
-            copy = await self._copies.read(may_be_old=True)
+            copy = await self._copies.read(may_be_stale=True)
             if copy is None:
                 return
             evacuations, _ = await asyncio.gather(
                 self._store.read(EVACUATIONS, prefix=True),
-                self._read_balancers(may_be_old=True),
+                self._read_balancers(may_be_stale=True),
             )
             self._take_evacuations(evacuations)
             self._configuration.take_packed(copy.packed)
@@ -199,7 +199,9 @@
 
     async def _watch(self) -> None:
         """Read the stored state, then process each change that operators make."""
-        backoff = Backoff(first_seconds=REREAD_SECONDS, most_seconds=MAX_REREAD_SECONDS)
+        backoff = Backoff(
+            initial_seconds=REREAD_SECONDS, max_seconds=MAX_REREAD_SECONDS
+        )
         while True:
             try:
                 revision = await self._read()
@@ -269,8 +271,10 @@
             self.store_restored()
             self._on_restored(old, revision)
 
-    async def _read_balancers(self, *, may_be_old: bool = False) -> None:
-        stored = await self._store.read(BALANCERS, prefix=True, may_be_old=may_be_old)
+    async def _read_balancers(self, *, may_be_stale: bool = False) -> None:
+        stored = await self._store.read(
+            BALANCERS, prefix=True, may_be_stale=may_be_stale
+        )
         self._balancers_read_at = self._now()
         for record in registered_balancers(stored, codec=self._codec):
             self._peers.learn(record)
--- a/monsoonpier/balancer/table.py
+++ b/monsoonpier/balancer/table.py
@@ -148,20 +148,20 @@
             # Otherwise an OPEN whose answer was lost would count forever.
             entry.sent_since = 0
 
-    def sent_flow(self, name: str, *, now: float) -> None:
+    def record_flow_sent(self, name: str, *, now: float) -> None:
         """Count a new flow that was sent to a target and is not yet answered."""
         entry = self._entries_by_name.get(name)
         if entry is not None:
             entry.sent_since += 1
             entry.sent_at = now
 
-    def answered_flow(self, name: str) -> None:
+    def record_flow_answered(self, name: str) -> None:
         """Record that one more of the flows sent is included in the reports."""
         entry = self._entries_by_name.get(name)
         if entry is not None and entry.sent_since:
             entry.sent_since -= 1
 
-    def not_answered(self, name: str) -> None:
+    def record_flow_unanswered(self, name: str) -> None:
         """Record that a new flow sent to a target got no answer in time."""
         entry = self._entries_by_name.get(name)
         if entry is not None:
@@ -232,7 +232,7 @@
             if service.allows(name) and not self._is_evacuated(name)
         ]
 
-    def candidates_of(self, service: str, *, now: float) -> list[Candidate]:
+    def packet_candidates(self, service: str, *, now: float) -> list[Candidate]:
         """Return the targets of a service whose flows carry no token.
 
         Outdated counts in their loads are reset first.
--- a/monsoonpier/balancer/tokens/decision.py
+++ b/monsoonpier/balancer/tokens/decision.py
@@ -124,7 +124,7 @@
         match choice:
             case Chosen(record=record):
                 self.opens_by_result["placed"] += 1
-                self.table.sent_flow(record.name, now=now)
+                self.table.record_flow_sent(record.name, now=now)
                 frame = ForwardDatagram(
                     service=service,
                     ip=caller[0],
@@ -172,7 +172,7 @@
             case ReplyDatagram():
                 self.table.record_load(frame.agent, frame.load, now=now)
                 if frame.opened:
-                    self.table.answered_flow(frame.agent)
+                    self.table.record_flow_answered(frame.agent)
                 self.returned += 1
                 return [
                     ToCaller(
@@ -194,7 +194,7 @@
     ) -> list:
         """Send an OPEN that an agent rejected to another target."""
         self.table.record_load(frame.agent, frame.load, now=now)
-        self.table.answered_flow(frame.agent)
+        self.table.record_flow_answered(frame.agent)
         self.opens_by_result["bounced"] += 1
         message = caller_codec.decode(frame.payload)
         if not isinstance(message, Open):
--- a/monsoonpier/balancer/tokens/process.py
+++ b/monsoonpier/balancer/tokens/process.py
@@ -78,7 +78,7 @@
         await self._stop()
 
     async def _leave_and_finish(self) -> None:
-        await self._life.wait_for_leaving()
+        await self._life.wait_for_shutdown()
         began = _now()
         await self._node.leave()
         while _now() - began < LEAVE_SECONDS:
--- a/monsoonpier/caller/transfer.py
+++ b/monsoonpier/caller/transfer.py
@@ -128,9 +128,9 @@
             self._is_delivered = True
             self._have_below = self._parts
             return []
-        if message.have_below < self._have_below or self._is_delivered:
+        if message.received_below < self._have_below or self._is_delivered:
             return []
-        self._have_below = message.have_below
+        self._have_below = message.received_below
         overdue = [
             number
             for number in message.missing[:RESEND_PARTS]
--- a/monsoonpier/link/schedule.py
+++ b/monsoonpier/link/schedule.py
@@ -56,7 +56,7 @@
         endpoint: The destination's IP address and port.
         urgency: The priority; packets of one flow stay in order all the same.
         flow: The flow that it belongs to; empty if none.
-        kept_at: The time at which it was queued, in seconds.
+        queued_at: The time at which it was queued, in seconds.
         socket: The socket to send through.
     """
 
@@ -64,7 +64,7 @@
     endpoint: tuple[str, int]
     urgency: Urgency
     flow: bytes
-    kept_at: float
+    queued_at: float
     socket: object = None
 
 
@@ -154,7 +154,7 @@
         """Remove and yield the datagrams to send now, in order."""
         while self._queued and self._free_at - now <= AHEAD_SECONDS:
             datagram = self._pop_next()
-            if now - datagram.kept_at > MAX_WAIT_SECONDS and _may_drop(datagram):
+            if now - datagram.queued_at > MAX_WAIT_SECONDS and _may_drop(datagram):
                 self.dropped_by_reason["waited too long"] += 1
                 continue
             self._take_tokens(len(datagram.data), now=now)
--- a/monsoonpier/link/sender.py
+++ b/monsoonpier/link/sender.py
@@ -59,7 +59,7 @@
                 endpoint=endpoint,
                 urgency=urgency,
                 flow=flow,
-                kept_at=now,
+                queued_at=now,
                 socket=socket,
             )
         )
@@ -92,7 +92,7 @@
         self._timer = None
         now = _now()
         for datagram in self._schedule.pop_due(now=now):
-            self._wait_seconds.observe(now - datagram.kept_at)
+            self._wait_seconds.observe(now - datagram.queued_at)
             datagram.socket.send(datagram.data, datagram.endpoint)
         self._log_drops(now=now)
         if len(self._schedule):
--- a/monsoonpier/model/token.py
+++ b/monsoonpier/model/token.py
@@ -33,7 +33,7 @@
         """The agent's UDP address in the form that sockets take."""
         return (self.ip, self.port)
 
-    def with_opening(self, opening: int) -> "HolderToken":
+    def with_opening(self, opening: int) -> "FlowToken":
         """Return a copy for another opening of the flow."""
         return msgspec.structs.replace(self, opening=opening)
 
--- a/monsoonpier/operator/conditional_write.py
+++ b/monsoonpier/operator/conditional_write.py
@@ -77,7 +77,7 @@
         draw: Source of random numbers for the delays between attempts.
         resolve_seconds: How long to retry while the store fails.
     """
-    backoff = Backoff(first_seconds=0.05, most_seconds=1.0)
+    backoff = Backoff(initial_seconds=0.05, max_seconds=1.0)
     now = asyncio.get_running_loop().time
     deadline = now() + resolve_seconds
     while True:
--- a/monsoonpier/operator/session.py
+++ b/monsoonpier/operator/session.py
@@ -96,7 +96,7 @@
             name: The process's name.
 
         Raises:
-            NoAnswer: If the process does not respond as expected.
+            NoResponseError: If the process does not respond as expected.
         """
         reply = await send_request(
             control, DrainRequest(name=name), keys=self._settings.keys
--- a/monsoonpier/platform/store.py
+++ b/monsoonpier/platform/store.py
@@ -95,14 +95,14 @@
         return self._generations.newest
 
     async def read(
-        self, key: str, *, prefix: bool = False, may_be_old: bool = False
+        self, key: str, *, prefix: bool = False, may_be_stale: bool = False
     ) -> Snapshot:
         """Return the key, or all keys with that prefix."""
         wanted = _platform_key(key, prefix=prefix)
 
         async def read_page(after: str) -> Page:
             query = {"prefix": wanted} | ({"after": after} if after else {})
-            query |= {"allow_stale": 1} if may_be_old else {}
+            query |= {"allow_stale": 1} if may_be_stale else {}
             response = await self._get("kv-range", query)
             found = _parse(response, _RangeResult)
             revision = self._revision(response, found.current_rev)
--- a/monsoonpier/process/control.py
+++ b/monsoonpier/process/control.py
@@ -115,7 +115,7 @@
     """Send a request to a process and return its reply.
 
     Raises:
-        NoAnswer: If no valid reply arrives within ``timeout`` seconds.
+        NoResponseError: If no valid reply arrives within ``timeout`` seconds.
     """
     codec = ControlCodec(keys=keys)
     context = zmq.asyncio.Context.instance()
--- a/monsoonpier/process/lifecycle.py
+++ b/monsoonpier/process/lifecycle.py
@@ -12,7 +12,7 @@
 
 __all__ = ["ProcessLifecycle", "run_until_shutdown"]
 
-_log = structlog.get_logger("monsoonpier.process.life")
+_log = structlog.get_logger("monsoonpier.process.lifecycle")
 
 
 class ProcessLifecycle:
@@ -42,7 +42,7 @@
         if self._state in ("leaving", "stopped"):
             self._leaving.set()
 
-    async def wait_for_leaving(self) -> None:
+    async def wait_for_shutdown(self) -> None:
         """Wait until the process should shut down."""
         await self._leaving.wait()
 
--- a/monsoonpier/store/backoff.py
+++ b/monsoonpier/store/backoff.py
@@ -10,13 +10,13 @@
 class Backoff:
     """The number of failed attempts, and the wait that follows from it."""
 
-    first_seconds: float = 0.1
-    most_seconds: float = 5.0
+    initial_seconds: float = 0.1
+    max_seconds: float = 5.0
     attempts: int = 0
 
     def wait_seconds(self, *, draw: random.Random) -> float:
         """Return the seconds to wait: a random 50 to 100 % of the current step."""
-        step = min(self.most_seconds, self.first_seconds * 2**self.attempts)
+        step = min(self.max_seconds, self.initial_seconds * 2**self.attempts)
         return step * draw.uniform(0.5, 1.0)
 
     def after_failure(self) -> "Backoff":
--- a/monsoonpier/store/etcd.py
+++ b/monsoonpier/store/etcd.py
@@ -60,10 +60,10 @@
         return 0
 
     async def read(
-        self, key: str, *, prefix: bool = False, may_be_old: bool = False
+        self, key: str, *, prefix: bool = False, may_be_stale: bool = False
     ) -> Snapshot:
         """Return the key, or all keys with that prefix."""
-        body = _selector(key, prefix=prefix) | {"serializable": may_be_old}
+        body = _selector(key, prefix=prefix) | {"serializable": may_be_stale}
         response = await self._call("/v3/kv/range", body)
         values = [_key_value(raw) for raw in response.get("kvs", [])]
         return Snapshot(
--- a/monsoonpier/store/interface.py
+++ b/monsoonpier/store/interface.py
@@ -116,14 +116,14 @@
         """The newest generation seen in a response; 0 before the first one."""
 
     async def read(
-        self, key: str, *, prefix: bool = False, may_be_old: bool = False
+        self, key: str, *, prefix: bool = False, may_be_stale: bool = False
     ) -> Snapshot:
         """Return the key, or all keys with that prefix.
 
         Args:
             key: The key or prefix.
             prefix: Whether ``key`` is a prefix.
-            may_be_old: Allow data that is seconds old, which is cheaper to read.
+            may_be_stale: Allow data that is seconds old, which is cheaper to read.
         """
 
     async def transact(
--- a/monsoonpier/store/long_poll.py
+++ b/monsoonpier/store/long_poll.py
@@ -42,7 +42,7 @@
     Raises:
         CompactedError: If ``poll`` raises it; other store errors are retried.
     """
-    backoff = Backoff(most_seconds=MAX_RETRY_SECONDS)
+    backoff = Backoff(max_seconds=MAX_RETRY_SECONDS)
     while True:
         try:
             result = await poll(after)
--- a/monsoonpier/wire/datagrams.py
+++ b/monsoonpier/wire/datagrams.py
@@ -151,11 +151,11 @@
 class Progress(_Message, tag=34, kw_only=True, gc=False):
     """Reports which parts of a request have arrived.
 
-    All parts below ``have_below`` have; ``missing`` names gaps above it.
+    All parts below ``received_below`` have; ``missing`` names gaps above it.
     """
 
     request: Count
-    have_below: Count
+    received_below: Count
     missing: Missing = ()
     whole: bool = False
 
--- a/monsoonpier/wire/frames.py
+++ b/monsoonpier/wire/frames.py
@@ -54,7 +54,7 @@
 MAX_SILENCES = 16
 MAX_BALANCERS = 16
 MAX_QUERIED_FLOWS = 80  # flows, at 14 bytes each
-MAX_PASSED_ON = 36  # agents, at 20 bytes each beside a packet of 1,231 bytes
+MAX_RELAY_AGENTS = 36  # agents, at 20 bytes each beside a packet of 1,231 bytes
 MAX_MILLISECONDS = 3_600_000  # one hour
 MAX_PRIORITY = 255
 MAX_ENTRIES = 32  # at about 36 bytes each
@@ -156,7 +156,7 @@
     """Acknowledges a `Heartbeat` or an `Announce`.
 
     ``known`` says that the balancer has the agent's current record, ``allowed`` that
-    the configuration allows its target. ``held_epoch`` is the epoch of the
+    the configuration allows its target. ``known_epoch`` is the epoch of the
     balancer's record of the agent: a larger one than the agent's own means that the
     agent's wall clock was set back. ``evacuation`` is the last known order on the
     agent's data centre. ``cold_per_second`` limits the new flows without a token that
@@ -171,7 +171,7 @@
     balancers: Annotated[
         tuple[BalancerRecord, ...], Meta(max_length=MAX_BALANCERS)
     ] = ()
-    held_epoch: int = 0
+    known_epoch: int = 0
     evacuation: Evacuation | None = None
     cold_per_second: Annotated[float, Meta(ge=0)] = 0.0
 
@@ -224,7 +224,7 @@
 class ForwardPacket(_Frame, tag=9, kw_only=True, gc=False):
     """Forwards a packet of a flow without a token to an agent.
 
-    ``asks`` requests a reply in any case, since the balancer doesn't know
+    ``wants_reply`` requests a reply in any case, since the balancer doesn't know
     whether this agent owns the flow. ``reply_to`` is the balancer's address if
     the frame was relayed by another agent.
 
@@ -237,7 +237,7 @@
     service: Name
     payload: Payload
     tried: Tried = ()
-    asks: bool = False
+    wants_reply: bool = False
     reply_to: Endpoint | None = None
     in_time_ms: Milliseconds = 0
     wait_ms: Milliseconds = 0
@@ -345,10 +345,10 @@
 
 
 class DirectoryReply(_Frame, tag=16, kw_only=True, gc=False):
-    """Answers with the owner of a flow; ``holder`` is empty if none is known."""
+    """Answers with the owner of a flow; ``owner`` is empty if none is known."""
 
     flow: FlowAddress
-    holder: Annotated[str, Meta(max_length=64)]
+    owner: Annotated[str, Meta(max_length=64)]
 
 
 class OwnershipQuery(_Frame, tag=17, kw_only=True, gc=False):
@@ -362,7 +362,7 @@
 class OwnershipReply(_Frame, tag=18, kw_only=True, gc=False):
     """Answers which of the flows in a query the agent's target owns.
 
-    ``is_sure`` says that it doesn't own the others; an agent that was started
+    ``is_conclusive`` says that it doesn't own the others; an agent that was started
     beside a running target can't know that. ``run_ms`` is the time since the target
     process started, ``None`` if unknown. ``is_absent`` says that no process has
     listened at the target's address since the agent's start.
@@ -371,7 +371,7 @@
     question: int
     agent: Name
     held: Annotated[tuple[FlowAddress, ...], Meta(max_length=MAX_QUERIED_FLOWS)]
-    is_sure: bool
+    is_conclusive: bool
     run_ms: int | None = None
     is_absent: bool = False
 
@@ -384,35 +384,35 @@
 
     service: Name
     payload: Payload
-    endpoints: Annotated[tuple[Endpoint, ...], Meta(max_length=MAX_PASSED_ON)]
+    endpoints: Annotated[tuple[Endpoint, ...], Meta(max_length=MAX_RELAY_AGENTS)]
 
 
 class AttemptRejected(_Frame, tag=30, kw_only=True, gc=False):
     """Reports to a caller's directory balancer that an attempt got no slot.
 
     ``tries`` counts the caller's attempts, including this one.
-    ``asked_ms`` is the time since the first of them.
-    ``back_ms`` is the time until the next one is possible, 0 if the caller is
+    ``first_attempt_age_ms`` is the time since the first of them.
+    ``next_attempt_ms`` is the time until the next one is possible, 0 if the caller is
     reset now.
     """
 
     caller: Ip
     service: Endpoint
-    asked_ms: Milliseconds
-    back_ms: Milliseconds = 0
+    first_attempt_age_ms: Milliseconds
+    next_attempt_ms: Milliseconds = 0
     tries: Tries = 1
 
 
 class FirstAttemptQuery(_Frame, tag=31, kw_only=True, gc=False):
     """Asks a caller's directory balancer for the time of its first attempt.
 
-    ``waited_ms`` is the time since the first SYN of ``flow`` was sent.
+    ``syn_age_ms`` is the time since the first SYN of ``flow`` was sent.
     """
 
     flow: FlowAddress
     caller: Ip
     service: Endpoint
-    waited_ms: Milliseconds = 0
+    syn_age_ms: Milliseconds = 0
 
 
 class FirstAttemptReply(_Frame, tag=32, kw_only=True, gc=False):
@@ -422,7 +422,7 @@
     """
 
     flow: FlowAddress
-    asked_ms: Milliseconds
+    first_attempt_age_ms: Milliseconds
     tries: Tries = 1
 
 
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -159,13 +159,13 @@
         await self.start_target(name, service, *options, slots=more.get("slots", 3))
         return await self.start_agent(name, service, **more)
 
-    async def retire_pair(self, name: str) -> int:
+    async def shut_down_pair(self, name: str) -> int:
         """Shut down an agent, then its target; return the agent's exit status."""
         status = await self.nodes_by_name[name].stop()
         await self.nodes_by_name[f"target {name}"].stop()
         return status
 
-    async def retire_balancer(self, name: str) -> int:
+    async def shut_down_balancer(self, name: str) -> int:
         """Shut down a balancer, remove it from the fabric; return its exit status."""
         node = self.nodes_by_name[name]
         status = await node.stop()
@@ -173,7 +173,7 @@
         await self._update_fabric()
         return status
 
-    async def operate(self, *arguments: str) -> tuple[int, str, str]:
+    async def run_operator_command(self, *arguments: str) -> tuple[int, str, str]:
         """Run an operator's command; return exit status, stdout and stderr."""
         settings = self._write_settings(
             "operator", "operator", platform=[self.platform_url]
@@ -220,15 +220,15 @@
             (folder / f"{name}.yaml").write_text(text)
         return folder
 
-    async def fault(self, url: str, **faults) -> None:
+    async def set_faults(self, url: str, **faults) -> None:
         """Set faults of the test double at ``url``."""
         async with self._http.post(f"{url}/standin/faults", json=faults) as response:
             response.raise_for_status()
 
-    async def target_fault(self, name: str, **faults) -> None:
+    async def set_target_faults(self, name: str, **faults) -> None:
         """Set faults of a target."""
         ip = self.nodes_by_name[f"target {name}"].ip
-        await self.fault(f"http://{ip}:8000", **faults)
+        await self.set_faults(f"http://{ip}:8000", **faults)
 
     async def metrics(self, name: str) -> dict[str, float]:
         """Return a process's metrics by name with labels."""
--- a/standins/fake_store.py
+++ b/standins/fake_store.py
@@ -43,7 +43,7 @@
         self.generation = 0
 
     async def read(
-        self, key: str, *, prefix: bool = False, may_be_old: bool = False
+        self, key: str, *, prefix: bool = False, may_be_stale: bool = False
     ) -> Snapshot:
         """Return the key, or all keys that begin with it."""
         self._check()
--- a/standins/link_load.py
+++ b/standins/link_load.py
@@ -43,7 +43,7 @@
             endpoint=ENDPOINT,
             urgency=self._urgency,
             flow=self.flow.to_bytes(4, "big") if self.flow else b"",
-            kept_at=self.at,
+            queued_at=self.at,
         )
 
 
--- a/standins/load.py
+++ b/standins/load.py
@@ -98,7 +98,7 @@
         jobs += [self._upload(pause) for _ in range(uploaders)]
         self._tasks += [asyncio.create_task(job) for job in jobs]
 
-    def troubles(self) -> Counter[str]:
+    def count_failures(self) -> Counter[str]:
         """Count outcomes other than `Done`, and faults of streams, by their text."""
         counts = Counter(
             str(request.outcome)
@@ -124,7 +124,7 @@
                 self.errors.append(repr(result))
         self._tasks.clear()
 
-    async def ask(
+    async def send_request(
         self, caller: Caller, service: str, kind: str, *, size: int = 0, **options
     ) -> Outcome:
         """Send a request with a unique tag and record its outcome."""
@@ -157,7 +157,7 @@
                 for _ in range(self._draw.randint(3, 12)):
                     idempotent = self._draw.random() < 0.7
                     kind = "reading" if idempotent else "top-up"
-                    await self.ask(
+                    await self.send_request(
                         caller, "maps", kind, idempotent=idempotent, deadline=5.0
                     )
                     if self._stop.is_set():
@@ -169,7 +169,7 @@
         while not self._stop.is_set():
             async with Caller(self._logs) as caller:
                 size = self._draw.choice((20_000, 300_000, 1_500_000))
-                await self.ask(caller, "logs", "log", size=size, deadline=20.0)
+                await self.send_request(caller, "logs", "log", size=size, deadline=20.0)
                 self.counts += caller.counts
             await asyncio.sleep(pause)
 
--- a/standins/packets/deployment.py
+++ b/standins/packets/deployment.py
@@ -206,7 +206,7 @@
         node = await self._start("balancer", name, settings)
         if wait:
             await self.wait_ready(name)
-            self.rotate(name)
+            self.update_rotation(name)
         return node
 
     async def start_pair(
@@ -246,7 +246,7 @@
         }
         return await self._start("agent", name, settings)
 
-    def rotate(self, *names: str, out: bool = False) -> None:
+    def update_rotation(self, *names: str, out: bool = False) -> None:
         """Add balancers to the fabric's rotation, or remove them if ``out``."""
         for name in names:
             endpoint = (self.ip(name), PACKET_PORT)
--- a/standins/packets/simulation.py
+++ b/standins/packets/simulation.py
@@ -98,7 +98,7 @@
             a process has started.
         cold_seconds, cold_ratio: Duration and factor of the targets' slowdown
             after the outage.
-        caller_way_seconds: One-way latency between a VM and a caller.
+        caller_latency_seconds: One-way latency between a VM and a caller.
         addresses: Number of IP addresses that callers share; 0 gives each its own.
         late_score: Score of a response after its latency target; one within it
             scores 1.
@@ -124,7 +124,7 @@
     starts: tuple[float, float] = (0.0, 0.0)
     cold_seconds: float = 2.0
     cold_ratio: float = 1.6
-    caller_way_seconds: float = LATENCY_SECONDS
+    caller_latency_seconds: float = LATENCY_SECONDS
     addresses: int = 0
     late_score: float = 0.3
     reserves: bool = False
@@ -140,11 +140,11 @@
     Attributes:
         in_time: Share with a response within the latency target.
         served: Share with a response within the timeout.
-        worth: Mean score.
-        first_failed: Share with a failed attempt.
+        score: Mean score.
+        failed_attempt_share: Share with a failed attempt.
         reports: Number of separate load updates; those in other frames don't count.
         imbalance: Most runs of a target over the mean.
-        left_share: Share of SYNs delivered to targets after the flow opened or was
+        late_syn_share: Share of SYNs delivered to targets after the flow opened or was
             given up.
         remote_share: Share of placements outside the balancer's data centre.
     """
@@ -152,20 +152,20 @@
     requests: int
     in_time: float
     served: float
-    worth: float
-    first_failed: float
+    score: float
+    failed_attempt_share: float
     mean_seconds: float
     resets: int
     reports: int
     imbalance: float
-    left_share: float
+    late_syn_share: float
     remote_share: float
 
 
 @dataclass(slots=True, kw_only=True)
 class _Target:
     number: int
-    holder: PacketFlowOwner
+    owner: PacketFlowOwner
     running: int = 0
     waiting: list = field(default_factory=list)
     received: set = field(default_factory=set)
@@ -289,7 +289,7 @@
         )
         owner.instance_started(b"i-1", is_first=True, now=self.now)
         owner.condition = Condition.SERVING
-        return _Target(number=number, holder=owner)
+        return _Target(number=number, owner=owner)
 
     def _balancer(
         self, number: int, log: DecisionLog, *, started_at: float
@@ -364,13 +364,13 @@
             requests=len(counted),
             in_time=sum(s <= latency_target for s in seconds) / len(counted),
             served=sum(s <= limit for s in seconds) / len(counted),
-            first_failed=sum(r.is_failed for r in counted) / len(counted),
-            worth=sum(map(self._score, counted)) / len(counted),
+            failed_attempt_share=sum(r.is_failed for r in counted) / len(counted),
+            score=sum(map(self._score, counted)) / len(counted),
             mean_seconds=sum(seconds) / max(1, len(seconds)),
             resets=self._resets,
             reports=self._reports,
             imbalance=self._imbalance,
-            left_share=self._late_syns / max(1, self._delivered_syns),
+            late_syn_share=self._late_syns / max(1, self._delivered_syns),
             remote_share=self._remote / max(1, self._placed),
         )
 
@@ -552,7 +552,7 @@
         if self._is_in_outage:
             return
         self._schedule_after(
-            self.world.caller_way_seconds, self._deliver_to_balancer, number, packet
+            self.world.caller_latency_seconds, self._deliver_to_balancer, number, packet
         )
 
     def _entry_balancer(self, flow: _Flow) -> int:
@@ -611,7 +611,9 @@
                 case ResetCaller(packet=packet):
                     self._resets += 1
                     self._schedule_after(
-                        self.world.caller_way_seconds, self._handle_reset, packet.flow
+                        self.world.caller_latency_seconds,
+                        self._handle_reset,
+                        packet.flow,
                     )
         if not self._retrying[number] and self._balancers[number].is_waiting:
             self._retrying[number] = True
@@ -637,23 +639,23 @@
         target = self.targets[port]
         if isinstance(frame, OwnershipQuery):
             sender = ("10.1.0.1", balancer)
-            replies = target.holder.ask(frame, sender=sender, now=self.now)
+            replies = target.owner.ask(frame, sender=sender, now=self.now)
             self._apply_agent_actions(target, replies)
             return
         sender = ("10.1.0.1", balancer)
         match frame:
             case ReserveSlot():
-                actions = target.holder.reserve(frame, balancer=sender, now=self.now)
+                actions = target.owner.reserve(frame, balancer=sender, now=self.now)
                 self._apply_agent_actions(target, actions)
                 return
             case DeclineSlot():
-                actions = target.holder.declined(balancer=sender, now=self.now)
+                actions = target.owner.declined(balancer=sender, now=self.now)
                 self._apply_agent_actions(target, actions)
                 return
         packet = self._packets_by_raw[frame.payload]
         self._apply_agent_actions(
             target,
-            target.holder.from_balancer(frame, packet, sender=sender, now=self.now),
+            target.owner.from_balancer(frame, packet, sender=sender, now=self.now),
         )
 
     def _apply_agent_actions(self, target: _Target, actions: list) -> None:
@@ -665,7 +667,9 @@
                 case ToCallerPacket(raw=raw):
                     packet = self._packets_by_raw[raw]
                     self._schedule_after(
-                        self.world.caller_way_seconds, self._deliver_to_caller, packet
+                        self.world.caller_latency_seconds,
+                        self._deliver_to_caller,
+                        packet,
                     )
                 case ToProcess(endpoint=(_, balancer), frame=frame):
                     self._schedule_after(
@@ -677,9 +681,9 @@
                     )
                 case ResetFlow(flow=flow):
                     self._schedule_after(
-                        self.world.caller_way_seconds, self._handle_reset, flow
+                        self.world.caller_latency_seconds, self._handle_reset, flow
                     )
-        if not target.is_expiry_scheduled and target.holder.is_waiting:
+        if not target.is_expiry_scheduled and target.owner.is_waiting:
             target.is_expiry_scheduled = True
             self._schedule_after(EXPIRE_SECONDS, self._expire_waiting, target)
         if not target.is_report_scheduled:
@@ -691,7 +695,7 @@
         if target not in self.targets:
             return
         sender = ("10.2.0.1", target.number)
-        for update in target.holder.load_reports(now=self.now):
+        for update in target.owner.load_reports(now=self.now):
             _, balancer = update.endpoint
             self._reports += 1
             self._schedule_after(
@@ -705,12 +709,12 @@
     def _expire_waiting(self, target: _Target) -> None:
         target.is_expiry_scheduled = False
         if target in self.targets:
-            self._apply_agent_actions(target, target.holder.expire(now=self.now))
+            self._apply_agent_actions(target, target.owner.expire(now=self.now))
 
     def _tick(self, target: _Target) -> None:
         if target not in self.targets:
             return  # restarted in an outage
-        self._apply_agent_actions(target, target.holder.tick(now=self.now))
+        self._apply_agent_actions(target, target.owner.tick(now=self.now))
         if self.now < self.world.seconds + DRAIN_SECONDS:
             self._schedule_after(TICK_SECONDS, self._tick, target)
 
@@ -735,7 +739,7 @@
 
     def _from_target(self, target: _Target, packet: Packet) -> None:
         self._apply_agent_actions(
-            target, target.holder.from_target(packet, now=self.now)
+            target, target.owner.from_target(packet, now=self.now)
         )
 
     def _start_runs(self, target: _Target) -> None:
--- a/tests/agent/test_witnesses.py
+++ b/tests/agent/test_heartbeat_peers.py
@@ -15,14 +15,14 @@
     """A few balancers are selected, and dead ones replaced."""
 
     def _known(self, count: int, target: str = "maps-1") -> HeartbeatPeers:
-        witnesses = HeartbeatPeers(target=target)
+        heartbeat_peers = HeartbeatPeers(target=target)
         for number in range(1, count + 1):
-            witnesses.learn(balancer(f"b{number}", host=number).peers.own)
-        return witnesses
+            heartbeat_peers.learn(balancer(f"b{number}", host=number).peers.own)
+        return heartbeat_peers
 
-    def _ack(self, witnesses: HeartbeatPeers, name: str, **more) -> None:
+    def _ack(self, heartbeat_peers: HeartbeatPeers, name: str, **more) -> None:
         fields = {"balancer": name, "version": 1, "known": True, "allowed": True}
-        witnesses.record_ack(HeartbeatAck(**fields | more), now=1.0)
+        heartbeat_peers.record_ack(HeartbeatAck(**fields | more), now=1.0)
 
     def test_bounded(self):
         """The number of heartbeats doesn't grow with the number of balancers."""
@@ -40,27 +40,27 @@
 
     def test_unresponsive_balancer_is_replaced(self):
         """A balancer that misses several heartbeats is replaced by another."""
-        witnesses = self._known(5)
-        first = witnesses.select(now=1.0)[0].name
+        heartbeat_peers = self._known(5)
+        first = heartbeat_peers.select(now=1.0)[0].name
         for _ in range(MAX_MISSED_HEARTBEATS):
-            witnesses.count_heartbeat(first, now=1.0)
-        self.assertIn(first, [r.name for r in witnesses.select(now=1.0)])
-        witnesses.count_heartbeat(first, now=1.0)
-        self.assertNotIn(first, [r.name for r in witnesses.select(now=1.0)])
-        self.assertEqual(len(witnesses.select(now=1.0)), PEER_COUNT)
+            heartbeat_peers.count_heartbeat(first, now=1.0)
+        self.assertIn(first, [r.name for r in heartbeat_peers.select(now=1.0)])
+        heartbeat_peers.count_heartbeat(first, now=1.0)
+        self.assertNotIn(first, [r.name for r in heartbeat_peers.select(now=1.0)])
+        self.assertEqual(len(heartbeat_peers.select(now=1.0)), PEER_COUNT)
 
     def test_announced_until_known(self):
         """The whole record is sent until it is acknowledged, and again once lost."""
-        witnesses = self._known(1)
-        self.assertTrue(witnesses.count_heartbeat("b1", now=1.0))
-        self._ack(witnesses, "b1")
-        self.assertFalse(witnesses.count_heartbeat("b1", now=1.0))
-        self._ack(witnesses, "b1", known=False)
-        self.assertTrue(witnesses.count_heartbeat("b1", now=1.0))
+        heartbeat_peers = self._known(1)
+        self.assertTrue(heartbeat_peers.count_heartbeat("b1", now=1.0))
+        self._ack(heartbeat_peers, "b1")
+        self.assertFalse(heartbeat_peers.count_heartbeat("b1", now=1.0))
+        self._ack(heartbeat_peers, "b1", known=False)
+        self.assertTrue(heartbeat_peers.count_heartbeat("b1", now=1.0))
 
     def test_leaving_balancer_is_dropped(self):
         """A balancer that reports it is leaving gets no more heartbeats."""
-        witnesses = self._known(4)
-        self._ack(witnesses, "b2", leaving=True)
-        self.assertNotIn("b2", [r.name for r in witnesses.select(now=1.0)])
-        self.assertTrue(witnesses.is_cut_off)
+        heartbeat_peers = self._known(4)
+        self._ack(heartbeat_peers, "b2", leaving=True)
+        self.assertNotIn("b2", [r.name for r in heartbeat_peers.select(now=1.0)])
+        self.assertTrue(heartbeat_peers.is_cut_off)
--- a/tests/agent/test_named_cases.py
+++ b/tests/agent/test_named_cases.py
@@ -234,7 +234,7 @@
         fetch = Fetch(flow=FLOW, token=agent.token, request=1, acked=1)
         message = agent.send(fetch)[0].message
         self.assertIsInstance(message, Progress)
-        self.assertEqual(message.have_below, 0)
+        self.assertEqual(message.received_below, 0)
 
     def test_slots_are_the_limit(self):
         """No more requests run at the target than it has slots."""
--- a/tests/balancer/test_clocks.py
+++ b/tests/balancer/test_clocks.py
@@ -39,13 +39,13 @@
         restarted = record("maps-1", epoch=400)
         (ack,) = self.answers(Announce(record=restarted))
         self.assertIsInstance(ack, HeartbeatAck)
-        self.assertEqual(ack.held_epoch, 500)
+        self.assertEqual(ack.known_epoch, 500)
 
     def test_agent_raises_its_epoch(self) -> None:
         """An agent raises its epoch above the one that a balancer knows."""
         witnesses = HeartbeatPeers(target="maps-1")
         ack = HeartbeatAck(
-            balancer="lb-1", version=1, known=True, allowed=True, held_epoch=500
+            balancer="lb-1", version=1, known=True, allowed=True, known_epoch=500
         )
         self.assertEqual(witnesses.next_epoch(ack, epoch=400), 501)
         self.assertIsNone(witnesses.next_epoch(ack, epoch=500))
--- a/tests/balancer/test_evacuation.py
+++ b/tests/balancer/test_evacuation.py
@@ -193,7 +193,7 @@
         """Affected agents that send heartbeats here are informed at once."""
         rig = self._rig()
         for name in ("maps-1", "maps-3"):
-            load = rig.membership.table.candidates_of("maps", now=CONVERGED)[0].load
+            load = rig.membership.table.packet_candidates("maps", now=CONVERGED)[0].load
             rig.membership.table.record_heartbeat(name, load, now=CONVERGED)
         self._evacuate(rig, order(5))
         (action,) = rig.membership.evacuation_acks(order(5), now=CONVERGED)
--- a/tests/balancer/test_store_link.py
+++ b/tests/balancer/test_store_link.py
@@ -121,7 +121,7 @@
             "b3": b"\xff\x00",
             "b4": b"",
             "b5": codec.encode(mine),  # under a key that isn't its own
-            "b6": codec.encode(DirectoryReply(flow=b"f", holder="b6")),
+            "b6": codec.encode(DirectoryReply(flow=b"f", owner="b6")),
         }
         puts = tuple(
             Put(key=BALANCERS + name, value=value, lease=0)
--- a/tests/caller/test_caller.py
+++ b/tests/caller/test_caller.py
@@ -124,8 +124,8 @@
     def test_foreign_datagrams(self):
         """Datagrams of other flows and of finished requests are dropped."""
         flow = session()
-        receive(flow, Progress(flow=b"g" * 16, request=1, have_below=0))
-        receive(flow, Progress(flow=FLOW, request=9, have_below=0))
+        receive(flow, Progress(flow=b"g" * 16, request=1, received_below=0))
+        receive(flow, Progress(flow=FLOW, request=9, received_below=0))
         flow.receive(b"\x01\xff\xff", now=0.1)
         self.assertEqual(flow.dropped, 3)
 
@@ -219,12 +219,12 @@
         resent = 0
         for missing in range(1, 20):
             gap = Progress(
-                flow=FLOW, request=1, have_below=0, missing=tuple(range(missing))
+                flow=FLOW, request=1, received_below=0, missing=tuple(range(missing))
             )
             parts = transfer.handle_progress(gap, acked=1, now=0.005)
             resent += sum(isinstance(part, RequestPart) for part in parts)
         self.assertEqual(resent, 0)
-        gap = Progress(flow=FLOW, request=1, have_below=0, missing=(0, 1))
+        gap = Progress(flow=FLOW, request=1, received_below=0, missing=(0, 1))
         self.assertEqual(len(transfer.handle_progress(gap, acked=1, now=0.1)), 2)
 
     def test_silent_owner(self):
--- a/tests/model/test_waiting.py
+++ b/tests/model/test_waiting.py
@@ -69,7 +69,7 @@
         self.assertEqual(self.order(), ["new", "old"])
 
     def test_nobody_starves(self) -> None:
-        """One slot in `LATE_TURN` is for a late flow, however many are in time."""
+        """One slot in `LATE_TURN_INTERVAL` is for a late flow, if others wait."""
         self.add(waiting("late", aim=0.0))
         self.add(*(waiting(f"t{n}", aim=1.0 + n) for n in range(50)))
         self.assertEqual(self.order().index("late"), LATE_TURN_INTERVAL - 1)
--- a/tests/packets/rig.py
+++ b/tests/packets/rig.py
@@ -132,7 +132,7 @@
 
     def report(self, name: str, *, now: float = 0.0, **load) -> None:
         """Record a load report of a target's agent."""
-        entry = self.membership.table.candidates_of("maps", now=now)
+        entry = self.membership.table.packet_candidates("maps", now=now)
         number = max((c.load.number for c in entry if c.record.name == name), default=0)
         fields = {"number": number + 1, "condition": Condition.SERVING} | load
         self.membership.table.record_load(name, LoadReport(**fields), now=now)
@@ -189,7 +189,7 @@
     return LoadReport(**{"number": number, "condition": Condition.SERVING} | fields)
 
 
-def holder(*, slots: int = 2, is_first: bool = True) -> PacketFlowOwner:
+def owner(*, slots: int = 2, is_first: bool = True) -> PacketFlowOwner:
     """Return the packet logic of an agent whose target serves."""
     made = PacketFlowOwner(
         name="maps-1", service="maps", slots=slots, connections=100, log=LOG
@@ -200,11 +200,14 @@
 
 
 def carry(
-    sent: Packet, *, service: str = "maps", tried=("maps-1",), asks: bool = False
+    sent: Packet, *, service: str = "maps", tried=("maps-1",), wants_reply: bool = False
 ) -> ForwardPacket:
     """Return the frame in which a balancer forwards a packet."""
     return ForwardPacket(
-        service=service, payload=sent.raw, tried=tried if sent.is_syn else (), asks=asks
+        service=service,
+        payload=sent.raw,
+        tried=tried if sent.is_syn else (),
+        wants_reply=wants_reply,
     )
 
 
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -21,8 +21,8 @@
     SteeringRig,
     answer,
     frames,
-    holder,
     load,
+    owner,
     packet,
     replace,
     resets,
@@ -45,12 +45,12 @@
     """A target of two slots, both taken by flows 1 and 2."""
 
     def setUp(self) -> None:
-        self.holder = holder(slots=SLOTS)
+        self.owner = owner(slots=SLOTS)
         for number in (1, 2):
             self.bring(number, now=1.0)
-            self.holder.from_target(answer(number, syn=True), now=1.0)
+            self.owner.from_target(answer(number, syn=True), now=1.0)
             sent = packet(number, size=10)
-            self.holder.from_balancer(
+            self.owner.from_balancer(
                 ForwardPacket(service="maps", payload=sent.raw),
                 sent,
                 sender=BALANCER,
@@ -60,10 +60,10 @@
     def bring(self, number: int, *, now: float, sender=BALANCER, **times) -> list:
         sent = packet(number, syn=True)
         frame = syn_frame(sent, **times)
-        return self.holder.from_balancer(frame, sent, sender=sender, now=now)
+        return self.owner.from_balancer(frame, sent, sender=sender, now=now)
 
     def finish(self, number: int, *, now: float) -> list:
-        return self.holder.from_target(answer(number, size=50), now=now)
+        return self.owner.from_target(answer(number, size=50), now=now)
 
     def delivered(self, actions: list) -> list[bytes]:
         raws = [getattr(action, "raw", b"")[:12] for action in actions]
@@ -83,9 +83,9 @@
     def test_evacuated(self) -> None:
         """An agent of an evacuated data centre rejects new flows of any balancer."""
         self.bring(3, now=1.01)
-        self.holder.is_evacuated = True
+        self.owner.is_evacuated = True
         for actions in (
-            self.holder.expire(now=1.02),
+            self.owner.expire(now=1.02),
             self.bring(4, now=1.03, sender=OTHER_BALANCER),
         ):
             (turned,) = frames(actions, SynRejected)
@@ -94,17 +94,17 @@
             self.assertIs(turned.load.condition, Condition.SHEDDING)
         sent = packet(1, size=10, sequence=2_000)
         carried = ForwardPacket(service="maps", payload=sent.raw)
-        kept = self.holder.from_balancer(carried, sent, sender=BALANCER, now=1.04)
+        kept = self.owner.from_balancer(carried, sent, sender=BALANCER, now=1.04)
         self.assertEqual([action.raw for action in kept], [sent.raw])
 
     def test_no_longer_evacuated(self) -> None:
         """After the order is revoked, new flows wait and are delivered again."""
-        self.holder.is_evacuated = True
+        self.owner.is_evacuated = True
         self.bring(3, now=1.01)
-        self.holder.is_evacuated = False
+        self.owner.is_evacuated = False
         self.bring(3, now=1.02)
         self.assertEqual(self.delivered(self.finish(1, now=1.05)), [packet(3).flow])
-        self.assertIs(self.holder.load(now=1.06).condition, Condition.SERVING)
+        self.assertIs(self.owner.load(now=1.06).condition, Condition.SERVING)
 
     def test_in_time_before_late_of_any_balancer(self) -> None:
         """A flow that can be answered in time goes first, whoever sent it."""
@@ -144,14 +144,14 @@
     def test_rejected_before_the_caller_gives_up(self) -> None:
         """A SYN for which no slot came free is rejected when its wait is over."""
         self.bring(3, now=1.01, wait_ms=300)
-        self.assertEqual(self.holder.tick(now=1.2), [])
-        (turned,) = frames(self.holder.tick(now=1.32), SynRejected)
+        self.assertEqual(self.owner.tick(now=1.2), [])
+        (turned,) = frames(self.owner.tick(now=1.32), SynRejected)
         self.assertEqual(turned.reason, "no slot came free")
 
     def test_leaving_target(self) -> None:
         """A leaving target takes none of the queued SYNs."""
         self.bring(3, now=1.01)
-        self.holder.condition = Condition.LEAVING
+        self.owner.condition = Condition.LEAVING
         actions = self.finish(1, now=1.05)
         self.assertEqual(self.delivered(actions), [])
         self.assertEqual([t.reason for t in frames(actions, SynRejected)], ["leaving"])
@@ -205,16 +205,16 @@
     def test_first_attempt_counts(self) -> None:
         """A rejected caller's next flow counts from its first attempt, once."""
         callers = ReturningCallers()
-        callers.record_reset(packet(1), asked_at=1.0, now=2.0)
+        callers.record_reset(packet(1), first_attempt_at=1.0, now=2.0)
         self.assertEqual(
-            callers.find_earlier(packet(2, syn=True), now=2.1).asked_at, 1.0
+            callers.find_earlier(packet(2, syn=True), now=2.1).first_attempt_at, 1.0
         )
         self.assertIsNone(callers.find_earlier(packet(3, syn=True), now=2.1))
 
     def test_long_ago(self) -> None:
         """A caller that returns much later has a new request."""
         callers = ReturningCallers()
-        callers.record_reset(packet(1), asked_at=1.0, now=2.0)
+        callers.record_reset(packet(1), first_attempt_at=1.0, now=2.0)
         now = 2.0 + RETURN_WINDOW_SECONDS + 0.1
         self.assertIsNone(callers.find_earlier(packet(2, syn=True), now=now))
 
@@ -223,7 +223,7 @@
         callers = ReturningCallers(most=2)
         for number in range(3):
             sent = replace(packet(number), caller_ip=f"100.64.0.{number}")
-            callers.record_reset(sent, asked_at=1.0, now=2.0)
+            callers.record_reset(sent, first_attempt_at=1.0, now=2.0)
         first = replace(packet(9, syn=True), caller_ip="100.64.0.0")
         self.assertIsNone(callers.find_earlier(first, now=2.0))
 
@@ -261,7 +261,7 @@
 
     def test_slot_of_a_silent_caller(self) -> None:
         """The slot of a silent caller goes to the next flow before the next tick."""
-        held = holder(slots=1)
+        held = owner(slots=1)
         for number, now in ((1, 1.0), (2, 1.01)):
             sent = packet(number, syn=True)
             frame = syn_frame(sent)
@@ -277,9 +277,9 @@
 class HandshakeTests(unittest.TestCase):
     """SYNs whose handshake passes while the slot is still taken."""
 
-    def _holder(self, *, run: float, handshake: float):
+    def _owner(self, *, run: float, handshake: float):
         """Return an agent's logic with one slot, both times known, during a run."""
-        made = holder(slots=1)
+        made = owner(slots=1)
         now = 1.0
         for number in (1, 2):
             sent = packet(number, syn=True)
@@ -301,13 +301,13 @@
 
     def test_short_runs(self) -> None:
         """Exactly one SYN is delivered early during a short run."""
-        made, now = self._holder(run=0.016, handshake=0.008)
+        made, now = self._owner(run=0.016, handshake=0.008)
         self.assertTrue(self._delivered(made, 3, now=now + 0.001))
         self.assertFalse(self._delivered(made, 4, now=now + 0.002))
 
     def test_long_runs(self) -> None:
         """Where a handshake is short compared to a run, SYNs wait in the queue."""
-        made, now = self._holder(run=0.2, handshake=0.008)
+        made, now = self._owner(run=0.2, handshake=0.008)
         self.assertFalse(self._delivered(made, 3, now=now + 0.001))
 
     def test_nearly_full(self) -> None:
@@ -323,6 +323,6 @@
             long_share=0.63,
             long_flows=13,
             seconds=6.0,
-            caller_way_seconds=0.003,
+            caller_latency_seconds=0.003,
         )
         self.assertGreater(Simulation(world).run().in_time, 0.98)
--- a/tests/packets/test_agent_process.py
+++ b/tests/packets/test_agent_process.py
@@ -70,7 +70,7 @@
     def setUp(self) -> None:
         random.seed(1)
         self.process = process()
-        self.holder = self.process._holder
+        self.owner = self.process._owner
 
     async def test_flows_after_leave_notice(self) -> None:
         """Flows stay open after the leave notice until the VM is stopped.
@@ -80,10 +80,10 @@
         self.process.take(heartbeat())
         self.process.take(farewell("i-1"))
         self.process._target_gone()
-        self.assertIs(self.holder.condition, Condition.LEAVING)
+        self.assertIs(self.owner.condition, Condition.LEAVING)
         self.process._life.step("terminate")
         await asyncio.wait_for(self.process._shut_down(), 5)
-        self.assertIs(self.holder.condition, Condition.GONE)
+        self.assertIs(self.owner.condition, Condition.GONE)
 
     async def test_stopped_without_a_target(self) -> None:
         """An agent that never found a target announces that, once certain.
@@ -92,15 +92,15 @@
         owned.
         """
         now = time.monotonic()
-        self.holder.note_no_listener(now=now)
+        self.owner.note_no_listener(now=now)
         self.process._life.step("terminate")
         leaving = asyncio.create_task(self.process._shut_down())
         await asyncio.sleep(0.1)
-        self.assertIs(self.holder.condition, Condition.STARTING)
+        self.assertIs(self.owner.condition, Condition.STARTING)
         self.assertFalse(leaving.done())
-        self.holder.note_no_listener(now=now + ABSENT_SECONDS)
+        self.owner.note_no_listener(now=now + ABSENT_SECONDS)
         await asyncio.wait_for(leaving, 5)
-        self.assertIs(self.holder.condition, Condition.GONE)
+        self.assertIs(self.owner.condition, Condition.GONE)
 
     async def test_stopped_before_first_check(self) -> None:
         """An agent that is stopped before its first check waits for certainty."""
@@ -108,10 +108,10 @@
         leaving = asyncio.create_task(self.process._shut_down())
         await asyncio.sleep(0.05)
         self.assertFalse(leaving.done())
-        self.holder.note_no_listener(now=time.monotonic() - ABSENT_SECONDS)
-        self.holder.note_no_listener(now=time.monotonic())
+        self.owner.note_no_listener(now=time.monotonic() - ABSENT_SECONDS)
+        self.owner.note_no_listener(now=time.monotonic())
         await asyncio.wait_for(leaving, 5)
-        self.assertIs(self.holder.condition, Condition.GONE)
+        self.assertIs(self.owner.condition, Condition.GONE)
 
     async def test_absence_is_announced(self) -> None:
         """Balancers are notified that no target was found, until one starts."""
@@ -125,21 +125,21 @@
 
     async def test_stopped_while_target_unreachable(self) -> None:
         """An agent stops in time although the target's address doesn't answer."""
-        self.holder.note_no_listener(now=time.monotonic())
+        self.owner.note_no_listener(now=time.monotonic())
         self.process._life.step("terminate")
         with mock.patch.object(agent_process, "MAX_ABSENT_SECONDS", 0.1):
             await asyncio.wait_for(self.process._shut_down(), 2)
-        self.assertIs(self.holder.condition, Condition.SHEDDING)
+        self.assertIs(self.owner.condition, Condition.SHEDDING)
 
     async def test_stopped_while_target_appears(self) -> None:
         """A target that appears in the meantime may keep running."""
-        self.holder.note_no_listener(now=time.monotonic())
+        self.owner.note_no_listener(now=time.monotonic())
         self.process._life.step("terminate")
         leaving = asyncio.create_task(self.process._shut_down())
         await asyncio.sleep(0.05)
         self.process.take(heartbeat())
         await asyncio.wait_for(leaving, 5)
-        self.assertIs(self.holder.condition, Condition.SHEDDING)
+        self.assertIs(self.owner.condition, Condition.SHEDDING)
 
     async def test_lost_leave_notice(self) -> None:
         """A draining target that no longer listens may still own its flows.
@@ -149,48 +149,48 @@
         self.process.take(heartbeat())
         self.process.take(heartbeat(is_draining=True, sequence=2))
         ended: list = []
-        self.holder.target_ended = lambda *, now: ended.append(now) or []
+        self.owner.target_ended = lambda *, now: ended.append(now) or []
         self.process._target_gone()
         self.assertEqual(ended, [])
-        self.assertIs(self.holder.condition, Condition.LEAVING)
+        self.assertIs(self.owner.condition, Condition.LEAVING)
         self.process.take(heartbeat(instance="i-2"))
-        self.assertIs(self.holder.condition, Condition.SERVING)
+        self.assertIs(self.owner.condition, Condition.SERVING)
 
     async def test_draining(self) -> None:
         """A draining target takes no new flows."""
         self.process.take(heartbeat())
         self.process.take(heartbeat(is_draining=True, sequence=2))
-        self.assertIs(self.holder.condition, Condition.LEAVING)
+        self.assertIs(self.owner.condition, Condition.LEAVING)
 
     async def test_stale_heartbeat(self) -> None:
         """An older heartbeat of the same instance changes nothing."""
         self.process.take(heartbeat(is_draining=True, sequence=5))
         self.assertTrue(self.process.take(heartbeat(sequence=4)))
-        self.assertIs(self.holder.condition, Condition.LEAVING)
+        self.assertIs(self.owner.condition, Condition.LEAVING)
 
     async def test_heartbeat_of_earlier_instance(self) -> None:
         """A delayed heartbeat doesn't bring back an instance that was replaced."""
         self.process.take(heartbeat())
         self.process.take(heartbeat(instance="i-2"))
         self.assertTrue(self.process.take(heartbeat(sequence=9)))
-        self.assertEqual(self.holder.instance, b"i-2")
+        self.assertEqual(self.owner.instance, b"i-2")
 
     async def test_leave_notice_of_earlier_instance(self) -> None:
         """A delayed leave notice doesn't end the instance that followed."""
         self.process.take(heartbeat())
         self.process.take(heartbeat(instance="i-2"))
         self.process.take(farewell("i-1"))
-        self.assertIs(self.holder.condition, Condition.SERVING)
+        self.assertIs(self.owner.condition, Condition.SERVING)
 
     async def test_crash_and_new_instance(self) -> None:
         """A crashed target serves again with the heartbeat of its next instance."""
         self.process.take(heartbeat())
         self.process._target_gone()
-        self.assertIs(self.holder.condition, Condition.UNRESPONSIVE)
+        self.assertIs(self.owner.condition, Condition.UNRESPONSIVE)
         self.process.take(heartbeat(sequence=2))
-        self.assertIs(self.holder.condition, Condition.UNRESPONSIVE)
+        self.assertIs(self.owner.condition, Condition.UNRESPONSIVE)
         self.process.take(heartbeat(instance="i-2"))
-        self.assertIs(self.holder.condition, Condition.SERVING)
+        self.assertIs(self.owner.condition, Condition.SERVING)
 
 
 class RestartedTargetTests(unittest.IsolatedAsyncioTestCase):
@@ -198,7 +198,7 @@
 
     def setUp(self) -> None:
         self.process = process()
-        self.holder = self.process._holder
+        self.owner = self.process._owner
 
     def send_heartbeat(self, **fields) -> None:
         self.assertTrue(self.process.take(heartbeat(**fields)))
@@ -207,23 +207,23 @@
         """A new instance's first heartbeat is accepted despite its low sequence."""
         self.send_heartbeat(born=1_000, sequence=70, is_draining=True)
         self.send_heartbeat(born=9_000, sequence=1)
-        self.assertIs(self.holder.condition, Condition.SERVING)
-        self.assertEqual(self.holder.instance, b"i-1@9000")
+        self.assertIs(self.owner.condition, Condition.SERVING)
+        self.assertEqual(self.owner.instance, b"i-1@9000")
 
     async def test_stale_heartbeat_of_previous_instance(self) -> None:
         """A higher sequence doesn't bring the earlier instance back."""
         self.send_heartbeat(born=9_000, sequence=1)
         self.send_heartbeat(born=1_000, sequence=70, is_draining=True)
-        self.assertIs(self.holder.condition, Condition.SERVING)
+        self.assertIs(self.owner.condition, Condition.SERVING)
         self.send_heartbeat(born=9_000, sequence=2)
         self.send_heartbeat(born=1_000, sequence=71, is_draining=True)
-        self.assertIs(self.holder.condition, Condition.SERVING)
+        self.assertIs(self.owner.condition, Condition.SERVING)
 
     async def test_flows_of_previous_instance(self) -> None:
         """The callers of the earlier instance's flows are reset at once."""
         self.send_heartbeat(born=1_000, sequence=70)
         ended: list = []
-        self.holder.target_ended = lambda *, now: ended.append(now) or []
+        self.owner.target_ended = lambda *, now: ended.append(now) or []
         self.send_heartbeat(born=9_000, sequence=1)
         self.assertEqual(len(ended), 1)
 
@@ -231,18 +231,18 @@
         """An instance that looks older is served after a second heartbeat."""
         self.send_heartbeat(born=9_000, sequence=70)
         self.send_heartbeat(born=1_000, sequence=1)
-        self.assertEqual(self.holder.instance, b"i-1@9000")
+        self.assertEqual(self.owner.instance, b"i-1@9000")
         self.send_heartbeat(born=1_000, sequence=2)
-        self.assertEqual(self.holder.instance, b"i-1@1000")
+        self.assertEqual(self.owner.instance, b"i-1@1000")
         self.send_heartbeat(born=9_000, sequence=71)
-        self.assertEqual(self.holder.instance, b"i-1@1000")
+        self.assertEqual(self.owner.instance, b"i-1@1000")
 
     async def test_clock_set_back_after_known_end(self) -> None:
         """One heartbeat is enough if the earlier instance is known to have ended."""
         self.send_heartbeat(born=9_000, sequence=70)
         self.process._target_gone()
         self.send_heartbeat(born=1_000, sequence=1)
-        self.assertIs(self.holder.condition, Condition.SERVING)
+        self.assertIs(self.owner.condition, Condition.SERVING)
 
     async def test_leave_notice_of_previous_instance(self) -> None:
         """A delayed leave notice doesn't affect the new instance."""
@@ -250,9 +250,9 @@
         self.send_heartbeat(born=9_000, sequence=1)
         self.process.take(farewell("i-1", born=1_000))
         self.process.take(farewell("i-1"))
-        self.assertIs(self.holder.condition, Condition.SERVING)
+        self.assertIs(self.owner.condition, Condition.SERVING)
         self.process.take(farewell("i-1", born=9_000))
-        self.assertIs(self.holder.condition, Condition.LEAVING)
+        self.assertIs(self.owner.condition, Condition.LEAVING)
 
     async def test_failures_of_previous_instance(self) -> None:
         """Failures of the earlier instance don't count against the new one.
@@ -260,7 +260,7 @@
         Only an unplanned end does.
         """
         self.send_heartbeat(born=1_000, sequence=70, is_draining=True)
-        load = self.holder.target_load
+        load = self.owner.target_load
         for number in range(20):
             load._failures.count(is_failure=True, now=number / 1e6)
         self.send_heartbeat(born=9_000, sequence=1)
@@ -270,4 +270,4 @@
         """Without a start time, instances differ by identity alone."""
         self.send_heartbeat(sequence=5)
         self.send_heartbeat(instance="i-2", sequence=1)
-        self.assertEqual(self.holder.instance, b"i-2")
+        self.assertEqual(self.owner.instance, b"i-2")
--- a/tests/packets/test_cold.py
+++ b/tests/packets/test_cold_start.py
@@ -15,7 +15,7 @@
     SteeringRig,
     answer,
     frames,
-    holder,
+    owner,
     packet,
     record,
 )
@@ -28,9 +28,9 @@
     """A cold target of 100 slots that may get ten new flows a second."""
 
     def setUp(self) -> None:
-        self.holder = holder(slots=100)
-        self.holder.target_load.cold.per_second = PER_SECOND
-        self.holder.target_load.set_cold_until(1.0 + COLD_SECONDS)
+        self.owner = owner(slots=100)
+        self.owner.target_load.cold.per_second = PER_SECOND
+        self.owner.target_load.set_cold_until(1.0 + COLD_SECONDS)
         self.taken: list[float] = []
         self.number = 0
 
@@ -39,7 +39,7 @@
         sent = packet(self.number, syn=True)
         frame = ForwardPacket(service="maps", payload=sent.raw, wait_ms=wait_ms)
         sender = (BALANCER, OTHER_BALANCER)[self.number % 2]
-        actions = self.holder.from_balancer(frame, sent, sender=sender, now=now)
+        actions = self.owner.from_balancer(frame, sent, sender=sender, now=now)
         self.note(actions, now=now)
         return actions
 
@@ -70,7 +70,7 @@
             self.bring(now=1.0)
         self.bring(now=1.2, wait_ms=1_000)
         self.assertEqual(len(self.taken), 10)
-        self.note(self.holder.expire(now=2.01), now=2.01)
+        self.note(self.owner.expire(now=2.01), now=2.01)
         self.assertEqual(len(self.taken), 11)
 
     def test_balancers_are_told(self) -> None:
@@ -96,12 +96,12 @@
     def test_open_flows_go_on(self) -> None:
         """Packets of open flows do not count against the limit."""
         self.bring(now=1.0)
-        self.holder.from_target(answer(1, syn=True), now=1.0)
+        self.owner.from_target(answer(1, syn=True), now=1.0)
         for _ in range(9):
             self.bring(now=1.0)
         sent = packet(1, size=10)
         carried = ForwardPacket(service="maps", payload=sent.raw)
-        actions = self.holder.from_balancer(carried, sent, sender=BALANCER, now=1.1)
+        actions = self.owner.from_balancer(carried, sent, sender=BALANCER, now=1.1)
         self.assertIn(sent.raw, [getattr(action, "raw", b"") for action in actions])
 
 
--- a/tests/packets/test_directory.py
+++ b/tests/packets/test_directory.py
@@ -74,7 +74,7 @@
         actions = self.group.run(endpoint, rig.caller(sent, now=now), now=now)
         return rig.names(actions)
 
-    def test_moved_flow_goes_straight_to_its_holder(self) -> None:
+    def test_moved_flow_goes_straight_to_its_owner(self) -> None:
         """A moved flow's packet is sent to its owner's agent only."""
         self.group.opened(self.first, 1, now=CONVERGED)
         for endpoint in self.others:
@@ -133,7 +133,7 @@
             rig.names(rig.agent(denial, sent, now=200.1)), ["maps-1", "maps-3"]
         )
 
-    def test_kept_holder_has_ended(self) -> None:
+    def test_stored_owner_has_ended(self) -> None:
         """The agents are queried if the registered owner has ended."""
         self.group.opened(self.first, 1, now=CONVERGED)
         for endpoint in self.others:
--- a/tests/packets/test_evidence.py
+++ b/tests/packets/test_failure_rate.py
@@ -15,7 +15,7 @@
     SteeringRig,
     answer,
     carry,
-    holder,
+    owner,
     packet,
 )
 
@@ -52,67 +52,67 @@
     """Which events count as failures."""
 
     def setUp(self) -> None:
-        self.holder = holder()
+        self.owner = owner()
 
     def ask(self, number: int, *, now: float) -> None:
         """Open a flow and send a request on it."""
         self.bring(packet(number, syn=True), now=now)
-        self.holder.from_target(answer(number, syn=True), now=now)
+        self.owner.from_target(answer(number, syn=True), now=now)
         self.bring(packet(number, size=10), now=now)
 
     def bring(self, sent, *, now: float) -> None:
-        self.holder.from_balancer(carry(sent), sent, sender=BALANCER, now=now)
+        self.owner.from_balancer(carry(sent), sent, sender=BALANCER, now=now)
 
     def failed(self, *, now: float) -> int:
-        return self.holder.load(now=now).failed_percent
+        return self.owner.load(now=now).failed_percent
 
     def test_failed_answer(self) -> None:
         """An answer that reports a failure counts, a good one doesn't."""
         self.ask(1, now=1.0)
-        self.holder.from_target(answer(1, size=50), now=1.05)
+        self.owner.from_target(answer(1, size=50), now=1.05)
         self.assertEqual(self.failed(now=1.05), 0)
         self.ask(2, now=1.1)
-        self.holder.from_target(answer(2, size=50, failure=True), now=1.1)
+        self.owner.from_target(answer(2, size=50, failure=True), now=1.1)
         self.assertGreater(self.failed(now=1.1), 20)
 
     def test_change_is_logged_and_reported(self) -> None:
         """A rising rate is logged and reported to balancers."""
         self.ask(1, now=1.0)
-        self.holder.load_reports(now=1.0)
-        self.holder.from_target(answer(1, size=50, failure=True), now=1.1)
-        with mock.patch.object(self.holder._reports._log, "note") as note:
-            news = self.holder.load_reports(now=1.1)
+        self.owner.load_reports(now=1.0)
+        self.owner.from_target(answer(1, size=50, failure=True), now=1.1)
+        with mock.patch.object(self.owner._reports._log, "note") as note:
+            news = self.owner.load_reports(now=1.1)
         self.assertEqual(note.call_args.args, ("target's failure rate rose",))
         self.assertGreater(news[0].frame.load.failed_percent, 20)
 
     def test_failure_is_no_service_time(self) -> None:
         """A target that fails at once doesn't count as a fast one."""
         self.ask(1, now=1.0)
-        self.holder.from_target(answer(1, size=50, failure=True), now=1.002)
-        self.assertEqual(self.holder.load(now=1.1).service_ms, 0)
+        self.owner.from_target(answer(1, size=50, failure=True), now=1.002)
+        self.assertEqual(self.owner.load(now=1.1).service_ms, 0)
 
     def test_no_answer(self) -> None:
         """A request without a packet for too long counts as one failure."""
         self.ask(1, now=1.0)
-        self.holder.tick(now=1.9)
+        self.owner.tick(now=1.9)
         self.assertEqual(self.failed(now=1.9), 0)
-        self.holder.tick(now=2.1)
+        self.owner.tick(now=2.1)
         once = self.failed(now=2.1)
         self.assertGreater(once, 20)
-        self.holder.tick(now=2.2)
+        self.owner.tick(now=2.2)
         self.assertLessEqual(self.failed(now=2.2), once)
 
     def test_reset_during_request(self) -> None:
         """A flow that the target resets during a request counts."""
         self.ask(1, now=1.0)
-        self.holder.from_target(answer(1, reset=True), now=1.01)
+        self.owner.from_target(answer(1, reset=True), now=1.01)
         self.assertGreater(self.failed(now=1.01), 20)
 
     def test_unplanned_end(self) -> None:
         """An unplanned end of the target counts, a planned one doesn't."""
-        self.holder.target_ended(now=1.0)
+        self.owner.target_ended(now=1.0)
         self.assertGreater(self.failed(now=1.0), 50)
-        leaving = holder()
+        leaving = owner()
         leaving.condition = Condition.LEAVING
         leaving.target_ended(now=1.0)
         self.assertEqual(leaving.load(now=1.0).failed_percent, 0)
@@ -158,7 +158,7 @@
         rig = SteeringRig(targets=8)
         for number in range(1, 9):
             rig.report(f"maps-{number}", now=CONVERGED, failed_percent=40 + number)
-        candidates = rig.membership.table.candidates_of("maps", now=CONVERGED)
+        candidates = rig.membership.table.packet_candidates("maps", now=CONVERGED)
         names = {c.record.name for c in without_failing(candidates)}
         self.assertEqual(names, {f"maps-{n}" for n in range(1, 7)})
 
@@ -167,8 +167,12 @@
         rig = SteeringRig(targets=1)
         rig.report("maps-1", now=CONVERGED, failed_percent=80)
         table = rig.membership.table
-        self.assertTrue(table.candidates_of("maps", now=105.0)[0].load.failed_percent)
-        self.assertFalse(table.candidates_of("maps", now=111.0)[0].load.failed_percent)
+        self.assertTrue(
+            table.packet_candidates("maps", now=105.0)[0].load.failed_percent
+        )
+        self.assertFalse(
+            table.packet_candidates("maps", now=111.0)[0].load.failed_percent
+        )
 
 
 class FailingTargetSimulationTests(unittest.TestCase):
@@ -183,7 +187,9 @@
         with_it = self.outcomes("one fails all", "product")
         without = self.outcomes("one fails all", "product without evidence")
         for sound, blind in zip(with_it, without, strict=True):
-            self.assertLess(sound.first_failed, 0.2 * blind.first_failed)
+            self.assertLess(
+                sound.failed_attempt_share, 0.2 * blind.failed_attempt_share
+            )
             self.assertGreater(sound.served, 0.998)
 
     def test_fails_a_part(self) -> None:
@@ -191,4 +197,6 @@
         with_it = self.outcomes("one fails 4 of 10", "product")
         without = self.outcomes("one fails 4 of 10", "product without evidence")
         for sound, blind in zip(with_it, without, strict=True):
-            self.assertLess(sound.first_failed, 0.5 * blind.first_failed)
+            self.assertLess(
+                sound.failed_attempt_share, 0.5 * blind.failed_attempt_share
+            )
--- a/tests/packets/test_first_asked.py
+++ b/tests/packets/test_first_attempts.py
@@ -22,7 +22,7 @@
 
 FULL = {"in_flight": 2, "queued": 1}
 BACK = CONVERGED + 1.32
-ANSWER = FirstAttemptReply(flow=packet(1).flow, asked_ms=2_500)
+ANSWER = FirstAttemptReply(flow=packet(1).flow, first_attempt_age_ms=2_500)
 
 
 def syn(number: int, *, caller: int = 7):
@@ -103,19 +103,23 @@
         self.assertEqual(resets(late), ["no slot came free"])
 
 
-class KeeperTests(unittest.TestCase):
+class DirectoryBalancerTests(unittest.TestCase):
     """Rejections and queries at a directory balancer, in any order."""
 
     def answers(self, *refusals: tuple[int, int], questions: int = 3) -> list[int]:
         balancer = times(next(iter(_Group(1).rigs.values())))
         caller = {"caller": "100.64.0.7", "service": (SERVICE.ip, SERVICE.port)}
-        for asked_ms, back_ms in refusals:
-            frame = AttemptRejected(asked_ms=asked_ms, back_ms=back_ms, **caller)
+        for first_attempt_age_ms, next_attempt_ms in refusals:
+            frame = AttemptRejected(
+                first_attempt_age_ms=first_attempt_age_ms,
+                next_attempt_ms=next_attempt_ms,
+                **caller,
+            )
             balancer.store_rejection(frame, now=5.0)
         question = FirstAttemptQuery(flow=syn(2).flow, **caller)
         sender = ("10.1.0.2", 7720)
         return [
-            reply.frame.asked_ms
+            reply.frame.first_attempt_age_ms
             for _ in range(questions)
             for reply in balancer.reply(question, sender=sender, now=5.1)
         ]
@@ -127,8 +131,8 @@
     def test_long_gone_behind_one_that_gives_up_later(self) -> None:
         """An expired rejection is not used for a new request."""
         callers = ReturningCallers()
-        for asked_at, back_at in ((1.0, 3.4), (0.5, 2.0)):
-            earlier = EarlierAttempt(asked_at=asked_at)
+        for first_attempt_at, back_at in ((1.0, 3.4), (0.5, 2.0)):
+            earlier = EarlierAttempt(first_attempt_at=first_attempt_at)
             callers.record("100.64.0.7", SERVICE, earlier, back_at=back_at)
         found = callers.claim("100.64.0.7", SERVICE, came_at=3.1, now=3.1)
         self.assertIsNone(found)
@@ -166,5 +170,5 @@
         shared = Simulation(self.WORLD).run()
         with mock.patch.object(FirstAttempts, "_directory_balancer", return_value=None):
             alone = Simulation(self.WORLD).run()
-        self.assertLess(shared.left_share, alone.left_share / 3)
+        self.assertLess(shared.late_syn_share, alone.late_syn_share / 3)
         self.assertGreater(shared.in_time, alone.in_time + 0.05)
--- a/tests/packets/test_processes.py
+++ b/tests/packets/test_processes.py
@@ -45,7 +45,7 @@
         for name in ("lb-1", "lb-2"):
             node = deployment.nodes_by_name[name]
             node.signal(signal.SIGTERM)
-            deployment.rotate(name, out=True)
+            deployment.update_rotation(name, out=True)
             self.assertEqual(await node.wait(), 0)
             await deployment.start_balancer(name)
         await self._finish(load)
@@ -148,7 +148,7 @@
         deployment.store.faults.is_down = True
         for name in ("lb-1", "lb-2", "maps-1", "maps-2", "logs-1"):
             deployment.nodes_by_name[name].signal(signal.SIGKILL)
-        deployment.rotate("lb-1", "lb-2", out=True)
+        deployment.update_rotation("lb-1", "lb-2", out=True)
         await asyncio.gather(
             *(deployment.start_balancer(name) for name in ("lb-1", "lb-2")),
             *(deployment.start_agent(name, service) for name, service in PAIRS),
@@ -172,7 +172,7 @@
         for flow in silent:
             self.assertTrue(await load.request(flow, "maps"))
         nodes = list(deployment.nodes_by_name.values())
-        deployment.rotate("lb-1", "lb-2", out=True)
+        deployment.update_rotation("lb-1", "lb-2", out=True)
         for node in nodes:
             node.signal(signal.SIGKILL)
         agents = [*PAIRS, *((f"maps-{number}", "maps") for number in range(3, 7))]
--- a/tests/packets/test_reservations.py
+++ b/tests/packets/test_reservations.py
@@ -34,8 +34,8 @@
     SteeringRig,
     answer,
     frames,
-    holder,
     load,
+    owner,
     packet,
     replace,
     resets,
@@ -181,14 +181,14 @@
     """A target of one slot, used by flow 1, with another flow behind it."""
 
     def setUp(self) -> None:
-        self.holder = holder(slots=1)
+        self.owner = owner(slots=1)
         self.run_request(1, now=1.0)
 
     def run_request(self, number: int, *, now: float) -> None:
         self.bring(number, now=now, is_offered=False)
-        self.holder.from_target(answer(number, syn=True), now=now)
+        self.owner.from_target(answer(number, syn=True), now=now)
         sent = packet(number, size=10)
-        self.holder.from_balancer(
+        self.owner.from_balancer(
             ForwardPacket(service="maps", payload=sent.raw),
             sent,
             sender=BALANCER,
@@ -205,10 +205,10 @@
             wait_ms=1_000,
             is_offered=is_offered,
         )
-        return self.holder.from_balancer(frame, sent, sender=BALANCER, now=now)
+        return self.owner.from_balancer(frame, sent, sender=BALANCER, now=now)
 
     def reserve(self, number: int, *, now: float = 1.0, balancer=BALANCER) -> list:
-        return self.holder.reserve(reserve(number), balancer=balancer, now=now)
+        return self.owner.reserve(reserve(number), balancer=balancer, now=now)
 
     def test_next_request_comes_during_the_run(self) -> None:
         """The next flow opens while the slot is in use, so the slot is never empty."""
@@ -221,14 +221,14 @@
         self.reserve(2)
         self.assertEqual(frames(self.reserve(3), OfferSlot), [])
         self.bring(2, now=1.004)
-        done = self.holder.from_target(answer(1, size=50), now=1.02)
+        done = self.owner.from_target(answer(1, size=50), now=1.02)
         self.assertEqual(len(frames(done, OfferSlot)), 1)
 
     def test_decline_goes_on_to_another(self) -> None:
         """A declined slot is offered to the next balancer at once."""
         self.reserve(2)
         self.reserve(3, balancer=OTHER_BALANCER)
-        actions = self.holder.declined(balancer=BALANCER, now=1.003)
+        actions = self.owner.declined(balancer=BALANCER, now=1.003)
         self.assertEqual([a.endpoint for a in actions], [OTHER_BALANCER])
 
     def test_unasked_flows_go_back(self) -> None:
@@ -237,13 +237,13 @@
         self.assertEqual(
             len(frames(self.bring(3, now=1.001, is_offered=False), SynRejected)), 1
         )
-        self.assertGreater(self.holder.load(now=1.001).in_flight, 1)
+        self.assertGreater(self.owner.load(now=1.001).in_flight, 1)
 
     def test_leaving_target_offers_nothing(self) -> None:
         """A leaving target drops its reservations and offers no slot."""
         self.reserve(2)
-        self.holder.condition = Condition.LEAVING
-        self.assertEqual(frames(self.holder.expire(now=1.1), OfferSlot), [])
+        self.owner.condition = Condition.LEAVING
+        self.assertEqual(frames(self.owner.expire(now=1.1), OfferSlot), [])
         self.assertEqual(frames(self.reserve(3, now=1.1), OfferSlot), [])
         refused = frames(self.bring(2, now=1.1), SynRejected)
         self.assertEqual([frame.reason for frame in refused], ["leaving"])
@@ -251,21 +251,21 @@
     def test_connection_limit(self) -> None:
         """A target without a free connection offers no slot."""
         for number in range(10, 109):
-            self.holder.from_target(answer(number, size=5), now=1.0)
-        self.assertGreaterEqual(self.holder.flows, 100)
+            self.owner.from_target(answer(number, size=5), now=1.0)
+        self.assertGreaterEqual(self.owner.flows, 100)
         self.assertEqual(frames(self.reserve(2), OfferSlot), [])
 
     def test_cold_limit(self) -> None:
         """A cold target offers no more slots than its limit per second."""
-        self.holder = holder(slots=4)
-        cold = self.holder.target_load.cold
+        self.owner = owner(slots=4)
+        cold = self.owner.target_load.cold
         cold.per_second, cold.until = 2.0, 5.0
         offers = [frames(self.reserve(number), OfferSlot) for number in range(4)]
         self.assertEqual([len(found) for found in offers], [1, 1, 0, 0])
 
     def test_offered_slot_is_kept(self) -> None:
         """A flow sent without an offer doesn't take an offered slot."""
-        self.holder = holder(slots=1)
+        self.owner = owner(slots=1)
         self.reserve(2)
         self.reserve(3, balancer=OTHER_BALANCER)
         unasked = self.bring(9, now=1.001, is_offered=False)
@@ -275,7 +275,7 @@
         """An unanswered offer expires, and others get the slot."""
         self.reserve(2)
         self.reserve(3, balancer=OTHER_BALANCER)
-        late = self.holder.expire(now=1.0 + OFFER_SECONDS)
+        late = self.owner.expire(now=1.0 + OFFER_SECONDS)
         self.assertEqual([a.endpoint for a in late], [OTHER_BALANCER])
 
 
@@ -440,7 +440,7 @@
 
     def test_more_are_answered_in_time(self) -> None:
         """Reservations serve more flows in time."""
-        self.assertGreater(self.outcome.worth, self.plain_outcome.worth + 0.02)
+        self.assertGreater(self.outcome.score, self.plain_outcome.score + 0.02)
         self.assertGreaterEqual(self.outcome.served, self.plain_outcome.served)
 
     def test_where_callers_enter_matters_less(self) -> None:
--- a/tests/packets/test_run_times.py
+++ b/tests/packets/test_run_times.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.packets.rig import BALANCER, answer, carry, holder, packet
+from tests.packets.rig import BALANCER, answer, carry, owner, packet
 
 
 class RunTimesTests(unittest.TestCase):
@@ -11,7 +11,7 @@
     RUN_SECONDS = 0.05
 
     def setUp(self) -> None:
-        self.holder = holder(slots=1)
+        self.owner = owner(slots=1)
         self.now = 1.0
         self.number = 0
         self.ask(0, now=self.now)
@@ -19,48 +19,48 @@
     def ask(self, number: int, *, now: float) -> None:
         for sent in (packet(number, syn=True), packet(number, size=10)):
             frame = carry(sent, tried=("a", "b", "c"))
-            self.holder.from_balancer(frame, sent, sender=BALANCER, now=now)
+            self.owner.from_balancer(frame, sent, sender=BALANCER, now=now)
             if sent.is_syn:
-                self.holder.from_target(answer(number, syn=True), now=now)
+                self.owner.from_target(answer(number, syn=True), now=now)
 
     def play(self, *, runs: int, seconds: float) -> None:
         for _ in range(runs):
             self.ask(self.number + 1, now=self.now + seconds / 2)
             self.now += seconds
             done = answer(self.number, size=50)
-            self.holder.from_target(done, now=self.now)
+            self.owner.from_target(done, now=self.now)
             self.number += 1
 
     def test_estimated_while_all_slots_are_taken(self) -> None:
         """The time that a request waited at the target is left out."""
         self.play(runs=40, seconds=self.RUN_SECONDS)
-        learnt = self.holder.target_load.run_seconds
+        learnt = self.owner.target_load.run_seconds
         self.assertAlmostEqual(learnt, self.RUN_SECONDS, delta=0.002)
 
     def test_target_that_turns_slow(self) -> None:
         """The estimate follows a target that becomes slower under full load."""
         self.play(runs=10, seconds=self.RUN_SECONDS)
         self.play(runs=40, seconds=3 * self.RUN_SECONDS)
-        learnt = self.holder.target_load.run_seconds
+        learnt = self.owner.target_load.run_seconds
         self.assertAlmostEqual(learnt, 3 * self.RUN_SECONDS, delta=0.01)
 
     def test_request_without_an_answer(self) -> None:
         """The estimate goes on after a caller has reset its flow."""
         self.play(runs=10, seconds=self.RUN_SECONDS)
         sent = packet(self.number, reset=True)
-        self.holder.from_balancer(carry(sent), sent, sender=BALANCER, now=self.now)
+        self.owner.from_balancer(carry(sent), sent, sender=BALANCER, now=self.now)
         self.number += 1
         self.ask(self.number, now=self.now)
         self.play(runs=60, seconds=3 * self.RUN_SECONDS)
-        learnt = self.holder.target_load.run_seconds
+        learnt = self.owner.target_load.run_seconds
         self.assertAlmostEqual(learnt, 3 * self.RUN_SECONDS, delta=0.01)
 
     def test_failures_are_ignored(self) -> None:
         """A request that fails at once doesn't change the estimate."""
         self.play(runs=40, seconds=self.RUN_SECONDS)
         failed = answer(self.number, size=50, failure=True)
-        self.holder.from_target(failed, now=self.now + 0.001)
-        learnt = self.holder.target_load.run_seconds
+        self.owner.from_target(failed, now=self.now + 0.001)
+        learnt = self.owner.target_load.run_seconds
         self.assertAlmostEqual(learnt, self.RUN_SECONDS, delta=0.002)
 
 
--- a/tests/packets/test_shares.py
+++ b/tests/packets/test_shares.py
@@ -152,7 +152,7 @@
         """A flow is reset once agents of all services of its route have denied it."""
         rig = self.rig()
         every = {(1, "maps"), (2, "maps"), (3, "logs"), (4, "logs")}
-        for flow, holder in ((1, None), (2, "logs-3")):
+        for flow, owner in ((1, None), (2, "logs-3")):
             now = CONVERGED + flow
             self.assertEqual(self.asked(rig.caller(packet(flow), now=now)), every)
             actions: list = []
@@ -160,10 +160,10 @@
                 self.assertEqual(resets(actions), [])
                 sent = packet(flow)
                 frame = FlowNotOwned(agent=name, flow=sent.flow, payload=sent.raw)
-                if name == holder:
+                if name == owner:
                     frame = held(name, sent)
                 actions = rig.agent(frame, sent, now=now)
-            self.assertEqual(len(resets(actions)), holder is None)
+            self.assertEqual(len(resets(actions)), owner is None)
         carried = rig.caller(packet(2), now=103.0)
         self.assertEqual([a.frame.service for a in carried], ["logs"])
 
@@ -176,7 +176,9 @@
         for number, name in itertools.product(
             questions, ("maps-1", "maps-2", "logs-3", "logs-4")
         ):
-            reply = OwnershipReply(question=number, agent=name, held=(), is_sure=False)
+            reply = OwnershipReply(
+                question=number, agent=name, held=(), is_conclusive=False
+            )
             actions += rig.agent(reply)
         actions += rig.steering.retry(now=CONVERGED + 0.02, draw=rig.draw)
         brought = {(a.endpoint[0], a.frame.service) for a in actions}
--- a/tests/packets/test_slot_use.py
+++ b/tests/packets/test_slot_use.py
@@ -6,7 +6,7 @@
 from monsoonpier.process.exposition import expose
 from monsoonpier.wire.frames import ForwardPacket
 from standins.packets.simulation import Simulation, World
-from tests.packets.rig import BALANCER, answer, holder, packet
+from tests.packets.rig import BALANCER, answer, owner, packet
 
 GONE_SECONDS = 0.4  # longer than any slot is kept for a caller's first request
 
@@ -15,9 +15,9 @@
     """A target of one slot, whose run ends while a flow waits at its agent."""
 
     def setUp(self) -> None:
-        self.holder = holder(slots=1)
-        self.use = self.holder.target_load.use
-        self.holder.tick(now=1.0)
+        self.owner = owner(slots=1)
+        self.use = self.owner.target_load.use
+        self.owner.tick(now=1.0)
         self.bring(1, syn=True, now=1.0)
         self.open_and_ask(1, now=1.0)
         self.bring(2, syn=True, now=1.01)
@@ -28,14 +28,14 @@
         frame = ForwardPacket(
             service="maps", payload=sent.raw, in_time_ms=1_000, wait_ms=1_000
         )
-        self.holder.from_balancer(frame, sent, sender=BALANCER, now=now)
+        self.owner.from_balancer(frame, sent, sender=BALANCER, now=now)
 
     def open_and_ask(self, number: int, *, now: float) -> None:
-        self.holder.from_target(answer(number, syn=True), now=now)
+        self.owner.from_target(answer(number, syn=True), now=now)
         self.bring(number, size=10, now=now)
 
     def finish(self, number: int, *, now: float) -> None:
-        self.holder.from_target(answer(number, size=50), now=now)
+        self.owner.from_target(answer(number, size=50), now=now)
 
     def test_handshake_between_two_runs(self) -> None:
         """The time between two runs counts as kept, as idle and as a gap."""
@@ -52,8 +52,8 @@
     def test_silent_caller(self) -> None:
         """A slot kept for a silent caller while another flow waits is counted."""
         self.bring(3, syn=True, now=1.1)
-        self.holder.from_target(answer(2, syn=True), now=1.1)
-        self.holder.expire(now=1.1 + GONE_SECONDS)
+        self.owner.from_target(answer(2, syn=True), now=1.1)
+        self.owner.expire(now=1.1 + GONE_SECONDS)
         total = self.use.total
         self.assertAlmostEqual(total.idle_while_queued, GONE_SECONDS)
         self.assertEqual(total.silent, 1)
@@ -62,25 +62,25 @@
     def test_silent_caller_on_busy_slot(self) -> None:
         """A silent caller keeps no slot while another request runs on it."""
         self.open_and_ask(2, now=1.1)
-        self.holder.target_load.busy -= 1  # so that one more is delivered
+        self.owner.target_load.busy -= 1  # so that one more is delivered
         self.bring(3, syn=True, now=1.1)
-        self.holder.target_load.busy += 1
-        self.holder.from_target(answer(3, syn=True), now=1.1)
-        self.holder.expire(now=1.1 + GONE_SECONDS)
+        self.owner.target_load.busy += 1
+        self.owner.from_target(answer(3, syn=True), now=1.1)
+        self.owner.expire(now=1.1 + GONE_SECONDS)
         total = self.use.total
         self.assertEqual((total.silent, total.kept_in_vain), (1, 0.0))
 
     def test_ended_target(self) -> None:
         """The slots of a target that takes no new flows are not idle."""
-        self.holder.target_ended(now=1.1)
-        self.holder.condition = self.holder.condition.UNRESPONSIVE
-        self.holder.tick(now=1.1)
-        self.holder.tick(now=9.1)
+        self.owner.target_ended(now=1.1)
+        self.owner.condition = self.owner.condition.UNRESPONSIVE
+        self.owner.tick(now=1.1)
+        self.owner.tick(now=9.1)
         self.assertAlmostEqual(self.use.total.idle, 0.0)
 
     def test_metrics(self) -> None:
         """The metrics have the use of the slots and the waiting flows."""
-        readings = self.holder.target_load.readings
+        readings = self.owner.target_load.readings
         lines = expose(lambda: readings).decode().splitlines()
         for line in (
             "monsoonpier_slots 1.0",
@@ -106,7 +106,7 @@
         world = World(targets=10, slots=1, utilisation=1.3, long_share=0.0)
         simulation = Simulation(world)
         simulation.run()
-        uses = [target.holder.target_load.use for target in simulation.targets]
+        uses = [target.owner.target_load.use for target in simulation.targets]
         busy = sum(use.total.busy for use in uses)
         runs = sum(use.total.runs for use in uses)
         gaps = [sum(use.gap_seconds.counts) for use in uses]
--- a/tests/packets/test_steering.py
+++ b/tests/packets/test_steering.py
@@ -195,7 +195,7 @@
     def setUp(self) -> None:
         self.rig = SteeringRig(targets=3)
 
-    def test_asks_all_and_remembers_the_holder(self) -> None:
+    def test_queries_all_and_records_the_owner(self) -> None:
         """All agents of the service are queried; later packets go to the owner."""
         actions = self.rig.caller(packet())
         self.assertEqual(self.rig.names(actions), ["maps-1", "maps-2", "maps-3"])
@@ -203,7 +203,7 @@
         self.assertEqual(self.rig.names(self.rig.caller(packet())), ["maps-2"])
 
     def _answers(self, *, held=(), sure: bool = True, name="maps-1", now=CONVERGED):
-        frame = OwnershipReply(question=1, agent=name, held=held, is_sure=sure)
+        frame = OwnershipReply(question=1, agent=name, held=held, is_conclusive=sure)
         return self.rig.agent(frame, now=now)
 
     def test_question_is_answered_for_many_flows(self) -> None:
@@ -215,10 +215,12 @@
         asked = [a.frame.flows for a in actions if isinstance(a.frame, OwnershipQuery)]
         flows = (packet(2).flow, packet(3).flow)
         self.assertEqual(asked, [flows] * 3)
-        held = OwnershipReply(question=2, agent="maps-1", held=flows[:1], is_sure=True)
+        held = OwnershipReply(
+            question=2, agent="maps-1", held=flows[:1], is_conclusive=True
+        )
         self.assertEqual(self.rig.names(self.rig.agent(held)), ["maps-1"])
         for name in ("maps-2", "maps-3"):
-            none = OwnershipReply(question=2, agent=name, held=(), is_sure=True)
+            none = OwnershipReply(question=2, agent=name, held=(), is_conclusive=True)
             actions = self.rig.agent(none)
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
@@ -226,7 +228,7 @@
         """A reply to a query from before a restart is ignored."""
         rig = SteeringRig(targets=1, started_at=50.0)
         rig.caller(packet())
-        old = OwnershipReply(question=1, agent="maps-1", held=(), is_sure=True)
+        old = OwnershipReply(question=1, agent="maps-1", held=(), is_conclusive=True)
         self.assertEqual(rig.agent(old), [])
 
     def test_agent_that_cannot_know(self) -> None:
@@ -236,7 +238,7 @@
             self.assertEqual(self._answers(name=name), [])
         actions = self._answers(sure=False)
         self.assertEqual(self.rig.names(actions), ["maps-1"])
-        self.assertTrue(actions[0].frame.asks)
+        self.assertTrue(actions[0].frame.wants_reply)
         self.assertEqual(self.rig.agent(held("maps-1", packet())), [])
 
     def test_tried_once_in_a_while(self) -> None:
@@ -255,7 +257,11 @@
         actions: list = []
         for number in range(1, 9):
             reply = OwnershipReply(
-                question=1, agent=f"maps-{number}", held=(), is_sure=False, run_ms=None
+                question=1,
+                agent=f"maps-{number}",
+                held=(),
+                is_conclusive=False,
+                run_ms=None,
             )
             actions += rig.agent(reply)
         self.assertEqual(rig.names(actions), ["maps-1", "maps-2"])
@@ -271,7 +277,11 @@
         rig.caller(replace(packet(), raw=bytes(1_231)))
         for number in range(1, 61):
             reply = OwnershipReply(
-                question=1, agent=f"maps-{number}", held=(), is_sure=False, run_ms=None
+                question=1,
+                agent=f"maps-{number}",
+                held=(),
+                is_conclusive=False,
+                run_ms=None,
             )
             rig.agent(reply)
         collected = rig.steering.retry(now=100.02, draw=rig.draw)
@@ -328,7 +338,7 @@
 
     def _deliver_gossip(self, peer: Membership, *, now: float) -> list:
         """Deliver a peer's gossip."""
-        sent = peer.greeting(OWN.endpoint, now=now, draw=self.rig.draw)
+        sent = peer.extra_gossip(OWN.endpoint, now=now, draw=self.rig.draw)
         sender = peer.peers.own.endpoint
         return self.rig.membership.from_process(
             sent.frame, sender=sender, now=now, draw=self.rig.draw
@@ -417,7 +427,7 @@
         self.rig.caller(packet(9), now=0.25)
         for name in ("maps-1", "maps-2", "maps-3"):
             reply = OwnershipReply(
-                question=2, agent=name, held=(), is_sure=True, run_ms=200
+                question=2, agent=name, held=(), is_conclusive=True, run_ms=200
             )
             self.rig.agent(reply, now=0.26)
         self.assertEqual(self.rig.steering.retry(now=0.28, draw=self.rig.draw), [])
@@ -484,7 +494,11 @@
         actions: list = []
         for name in ("maps-1", "maps-2", "maps-3"):
             reply = OwnershipReply(
-                question=100_000_001, agent=name, held=(), is_sure=True, run_ms=run_ms
+                question=100_000_001,
+                agent=name,
+                held=(),
+                is_conclusive=True,
+                run_ms=run_ms,
             )
             actions += rig.agent(reply, now=100.41)
         return resets(actions)
@@ -535,7 +549,7 @@
         rig.agent(reply, now=160.01)
         rig.learn(record("maps-2", host=2, change=1, condition=condition), now=160.1)
         rig.caller(packet(2), now=then)
-        sure = OwnershipReply(question=0, agent="maps-1", held=(), is_sure=True)
+        sure = OwnershipReply(question=0, agent="maps-1", held=(), is_conclusive=True)
         number = rig.steering._resolver._queries._last_query
         return resets(rig.agent(replace(sure, question=number), now=then + 0.01))
 
@@ -594,14 +608,22 @@
         self.assertEqual(rig.names(actions), [])
         for name in ("maps-1", "maps-3"):
             reply = OwnershipReply(
-                question=100_000_001, agent=name, held=(), is_sure=True, run_ms=30_000
+                question=100_000_001,
+                agent=name,
+                held=(),
+                is_conclusive=True,
+                run_ms=30_000,
             )
             actions = rig.agent(reply, now=100.42)
         self.assertEqual(rig.names(actions), ["maps-2"])
 
     def _inconclusive_reply(self, name: str, *, run_ms: int) -> OwnershipReply:
         return OwnershipReply(
-            question=100_000_001, agent=name, held=(), is_sure=False, run_ms=run_ms
+            question=100_000_001,
+            agent=name,
+            held=(),
+            is_conclusive=False,
+            run_ms=run_ms,
         )
 
     def test_targets_younger_than_the_balancer(self) -> None:
@@ -613,7 +635,11 @@
         rig.membership.has_agreed = True
         rig.caller(packet(size=10), now=160.0)
         reply = OwnershipReply(
-            question=100_000_001, agent="maps-1", held=(), is_sure=True, run_ms=9_000
+            question=100_000_001,
+            agent="maps-1",
+            held=(),
+            is_conclusive=True,
+            run_ms=9_000,
         )
         actions = rig.agent(reply, now=160.01)
         actions += rig.agent(self._inconclusive_reply("maps-2", run_ms=900), now=160.01)
@@ -684,19 +710,19 @@
         self.assertEqual(rig.reached(actions), rig.known_endpoints)
         self.assertLessEqual(len(actions), 3)
 
-    def test_denied_by_the_remembered_holder(self) -> None:
+    def test_denied_by_the_recorded_owner(self) -> None:
         """When the known owner denies a flow, the other agents are queried."""
         self.rig.agent(held("maps-2", packet()))
         actions = self.rig.agent(denied("maps-2", packet()), packet())
         self.assertEqual(self.rig.names(actions), ["maps-1", "maps-3"])
 
-    def test_holder_has_ended(self) -> None:
+    def test_owner_has_ended(self) -> None:
         """A flow whose target has ended is reset at once."""
         self.rig.agent(held("maps-2", packet()))
         self.rig.learn(record("maps-2", host=2, epoch=2, condition=Condition.GONE))
         self.assertEqual(resets(self.rig.caller(packet())), ["target gone"])
 
-    def test_thought_holder_has_ended(self) -> None:
+    def test_presumed_owner_has_ended(self) -> None:
         """A flow is not reset when a target ends that only got its SYN."""
         placed = self.rig.names(self.rig.caller(packet(syn=True)))
         number = int(placed[0][-1])
--- a/tests/packets/test_verdicts.py
+++ b/tests/packets/test_verdicts.py
@@ -128,7 +128,7 @@
             question=question.question,
             agent=name,
             held=(),
-            is_sure=True,
+            is_conclusive=True,
             run_ms=round((self.now - BALANCER_START) * 1000),
         )
         self._do(self.rig.agent(reply, now=self.now))
--- a/tests/process/test_failures.py
+++ b/tests/process/test_failures.py
@@ -37,7 +37,7 @@
             *(deployment.start_balancer(f"b{n}") for n in range(1, balancers + 1)),
             *(deployment.start_pair(name, service) for name, service in names),
         )
-        status, out, err = await deployment.operate(
+        status, out, err = await deployment.run_operator_command(
             "apply", str(deployment.write_services()), "--wait"
         )
         self.assertEqual(status, ExitStatus.OK, out + err)
@@ -53,7 +53,7 @@
         await load.stop()
         judgement = evaluate(load, deployment.runs())
         self.assertEqual(load.errors, [])
-        self.assertTrue(judgement.is_clean, f"{judgement} {load.troubles()}")
+        self.assertTrue(judgement.is_clean, f"{judgement} {load.count_failures()}")
         self.assertGreater(judgement.requests, 10)
 
 
@@ -85,13 +85,13 @@
             for n in (1, 2):
                 await deployment.start_balancer(f"b{n + 2}")
                 await deployment.wait_ready(f"b{n + 2}")
-                self.assertEqual(await deployment.retire_balancer(f"b{n}"), 0)
+                self.assertEqual(await deployment.shut_down_balancer(f"b{n}"), 0)
 
         async def replace_target(old: str, new: str) -> None:
             service = old.split("-")[0]
             await deployment.start_pair(new, service)
             await deployment.wait_ready(new)
-            self.assertEqual(await deployment.retire_pair(old), 0)
+            self.assertEqual(await deployment.shut_down_pair(old), 0)
 
         await asyncio.gather(
             replace_balancers(),
@@ -105,13 +105,15 @@
     async def test_unreliable_fabric(self):
         """Duplicated, reordered and lost packets change no outcome."""
         deployment = await self._start("127.83.3", maps=2, logs=1)
-        await deployment.fault(
+        await deployment.set_faults(
             deployment.fabric_url, duplicate=0.1, reorder=0.3, drop=0.05
         )
         load = self._load(deployment)
         load.start(streams=10, readers=5, uploaders=1)
         await asyncio.sleep(4.0)
-        await deployment.fault(deployment.fabric_url, duplicate=0, reorder=0, drop=0)
+        await deployment.set_faults(
+            deployment.fabric_url, duplicate=0, reorder=0, drop=0
+        )
         await self._finish(load, deployment)
 
 
@@ -121,23 +123,23 @@
     async def test_killed_and_replaced_at_the_same_address(self):
         """A request whose agent was killed may have run, so it is not repeated."""
         deployment = await self._start("127.83.4", maps=1)
-        await deployment.target_fault("maps-1", slow_factor=100.0)
+        await deployment.set_target_faults("maps-1", slow_factor=100.0)
         load = self._load(deployment)
         async with Caller(deployment.address("maps")) as caller:
             asking = asyncio.create_task(
-                load.ask(caller, "maps", "top-up", deadline=15.0)
+                load.send_request(caller, "maps", "top-up", deadline=15.0)
             )
             while not deployment.runs():
                 await asyncio.sleep(0.05)
             node = deployment.nodes_by_name["maps-1"]
             node.signal(signal.SIGKILL)
             await node.wait()
-            await deployment.target_fault("maps-1", slow_factor=1.0)
+            await deployment.set_target_faults("maps-1", slow_factor=1.0)
             await deployment.start_agent("maps-1", "maps")
             outcome = await asking
             self.assertIsInstance(outcome, FlowLost | Unknown | Late)
             await deployment.wait_ready("maps-1")
-            again = await load.ask(caller, "maps", "top-up", deadline=10.0)
+            again = await load.send_request(caller, "maps", "top-up", deadline=10.0)
             self.assertIsInstance(again, Done)
         judgement = evaluate(load, deployment.runs())
         self.assertEqual(judgement.ran_twice, 0)
@@ -169,7 +171,7 @@
         load = self._load(deployment)
         load.start(streams=10, readers=8, uploaders=0)
         await asyncio.sleep(1.0)
-        status, out, err = await deployment.operate("drain", "maps-1")
+        status, out, err = await deployment.run_operator_command("drain", "maps-1")
         self.assertEqual(status, ExitStatus.OK, out + err)
         drained_at = time.time()
         self.assertEqual(await deployment.nodes_by_name["maps-1"].wait(), 0)
@@ -191,7 +193,9 @@
         """New processes learn from peers in an outage; a restore reverts nothing."""
         deployment = await self._start("127.83.7")
         folder = str(deployment.write_services(queue_per_slot=5))
-        status, _, err = await deployment.operate("apply", folder, "--wait")
+        status, _, err = await deployment.run_operator_command(
+            "apply", folder, "--wait"
+        )
         self.assertEqual(status, ExitStatus.OK, err)
         await deployment.nodes_by_name["platform"].stop()
         load = self._load(deployment)
@@ -200,9 +204,9 @@
         await deployment.start_balancer("b3", seeds=[seed])
         await deployment.start_pair("maps-3", "maps", seeds=[seed])
         await deployment.wait_ready("b3", "maps-3")
-        self.assertEqual(await deployment.retire_balancer("b1"), 0)
-        self.assertEqual(await deployment.retire_pair("maps-1"), 0)
-        status, _, err = await deployment.operate("apply", folder)
+        self.assertEqual(await deployment.shut_down_balancer("b1"), 0)
+        self.assertEqual(await deployment.shut_down_pair("maps-1"), 0)
+        status, _, err = await deployment.run_operator_command("apply", folder)
         self.assertEqual(status, ExitStatus.UNAVAILABLE)
         self.assertNotIn("Traceback", err)
         # The restored platform is empty, so its revisions start again.
@@ -213,7 +217,9 @@
             if len(await self._registered(deployment)) == 2:
                 break
             await asyncio.sleep(0.2)
-        status, out, err = await deployment.operate("apply", folder, "--wait")
+        status, out, err = await deployment.run_operator_command(
+            "apply", folder, "--wait"
+        )
         self.assertEqual(status, ExitStatus.OK, out + err)
         self.assertIn("accepted as version 3", out)
         await self._finish(load, deployment)
@@ -234,12 +240,13 @@
         await self.enterAsyncContext(deployment)
         await deployment.start_platform()
         folder = str(deployment.write_services())
-        await deployment.fault(deployment.platform_url, lose_answers=1)
-        status, out, err = await deployment.operate("apply", folder)
+        await deployment.set_faults(deployment.platform_url, lose_answers=1)
+        status, out, err = await deployment.run_operator_command("apply", folder)
         self.assertEqual(status, ExitStatus.OK, err)
         self.assertIn("accepted as version 1", out)
         results = await asyncio.gather(
-            deployment.operate("apply", folder), deployment.operate("apply", folder)
+            deployment.run_operator_command("apply", folder),
+            deployment.run_operator_command("apply", folder),
         )
         self.assertLessEqual(
             {r[0] for r in results}, {ExitStatus.OK, ExitStatus.CONFLICT}
@@ -252,7 +259,7 @@
         for number in range(RACES):
             base = await read_stored(operators[0])
             if number % 5 == 0:
-                await deployment.fault(deployment.platform_url, lose_answers=1)
+                await deployment.set_faults(deployment.platform_url, lose_answers=1)
             outcomes = await asyncio.gather(
                 *(
                     store_change(
@@ -303,7 +310,7 @@
                 if arguments[0] == "check":
                     result = await self._check(deployment, *arguments)
                 else:
-                    result = await deployment.operate(*arguments)
+                    result = await deployment.run_operator_command(*arguments)
                 status, _, err = result
                 self.assertEqual(status, expected, err)
                 self.assertIn(text, err)
@@ -332,7 +339,7 @@
     async def test_second_signal(self):
         """A second SIGTERM ends a process at once."""
         deployment = await self._start("127.83.11", balancers=1, maps=1)
-        await deployment.target_fault("maps-1", slow_factor=1000.0)
+        await deployment.set_target_faults("maps-1", slow_factor=1000.0)
         async with Caller(deployment.address("maps")) as caller:
             asking = asyncio.create_task(caller.request("top-up", b"maps 1 answer=0"))
             while not deployment.runs():
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -247,7 +247,7 @@
     def _to_agent(self, via: Balancer, endpoint, frame) -> None:
         for name, of in self.records.items():
             if of.address.endpoint == endpoint and name not in self.dead:
-                done = self.holders[name].forwarded(
+                done = self.holders[name].handle_datagram(
                     frame,
                     via=via.peers.own.endpoint,
                     now=self.now,
