--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -16,12 +16,17 @@
 
 from bench.probe import KEYRING, FakeAgents, fit, pause_after_burst, read_cost
 from monsoonpier.documents.configuration import parse_files
-from monsoonpier.documents.stored import Stored, encode_stored, pack, unstore
+from monsoonpier.documents.stored import (
+    StoredConfiguration,
+    decode_configuration,
+    encode_stored,
+    pack,
+)
 from monsoonpier.model.target import Condition, LoadReport
-from monsoonpier.model.token import HolderToken, seal_token
+from monsoonpier.model.token import FlowToken, seal_token
 from monsoonpier.process.udp import open_udp
 from monsoonpier.wire.datagrams import MIN_OPEN_BYTES, Open, Ping, caller_codec
-from monsoonpier.wire.frames import Forward, FrameCodec, Return
+from monsoonpier.wire.frames import ForwardDatagram, FrameCodec, ReplyDatagram
 from standins.deployment import Deployment
 
 RESULTS_FILE = Path(__file__).parent.parent / "docs" / "figures" / "capacity.json"
@@ -56,13 +61,13 @@
         str(sink.address),
     )
     await asyncio.sleep(1.0)
-    token = HolderToken(
+    token = FlowToken(
         service="maps", ip=sink.address.ip, port=sink.address.port, instance=b"i" * 8
     )
     sealed = seal_token(token, flow=FLOW, keys=KEYRING)
     ping = caller_codec.encode(Ping(flow=FLOW, token=sealed, acked=1))
     reply = FrameCodec(keys=KEYRING).encode(
-        Return(
+        ReplyDatagram(
             service="maps",
             ip=sink.address.ip,
             port=sink.address.port,
@@ -131,7 +136,7 @@
         await asyncio.sleep(SETTLE_SECONDS)
         points.append((count, (read_cost(node.pid).seconds - before.seconds) * 1e6))
     figures["balancer microseconds per heartbeat"] = fit(points)
-    await deployment.retire_balancer("b-targets")
+    await deployment.shut_down_balancer("b-targets")
     agents.socket.close()
 
 
@@ -162,7 +167,7 @@
     figures["balancer microseconds per new flow by targets of the service"] = fit(
         points
     )
-    await deployment.retire_balancer("b-opens")
+    await deployment.shut_down_balancer("b-opens")
     agents.socket.close()
 
 
@@ -223,7 +228,7 @@
 
 def _send_open(sender, codec: FrameCodec, number: int, to: tuple[str, int]) -> None:
     message = Open(flow=number.to_bytes(16, "big"), padding=bytes(MIN_OPEN_BYTES))
-    frame = Forward(
+    frame = ForwardDatagram(
         service="maps", ip="127.0.0.1", port=9, payload=caller_codec.encode(message)
     )
     sender.send(codec.encode(frame), to)
@@ -263,7 +268,7 @@
         calls_made / metrics["monsoonpier_uptime_seconds"]
     )
     for name in names:
-        await deployment.retire_balancer(name)
+        await deployment.shut_down_balancer(name)
 
 
 async def _control_bytes(deployment: Deployment, name: str) -> float:
@@ -291,7 +296,7 @@
         files = {"all.yaml": json.dumps({"services": services})}
         parsed = parse_files(files)
         assert not parsed.findings, parsed.findings
-        stored = Stored(
+        stored = StoredConfiguration(
             version=1,
             apply_id="0" * 32,
             who="ana",
@@ -303,7 +308,7 @@
         times = []
         for _ in range(3):
             started_at = time.process_time()
-            unstore(value)
+            decode_configuration(value)
             times.append((time.process_time() - started_at) * 1000)
         points.append((count, statistics.median(times)))
         sizes.append((count, len(value)))
@@ -323,7 +328,7 @@
         await deployment.start_surroundings()
         await deployment.start_balancer("b1")
         folder = deployment.write_services(cold_start_seconds=0)
-        await deployment.operate("apply", str(folder), "--wait")
+        await deployment.run_operator_command("apply", str(folder), "--wait")
         await deployment.wait_ready("b1")
         for measure in (
             _idle_balancer,
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from monsoonpier.balancer.steering import Candidate, Chosen, choose
+from monsoonpier.balancer.target_choice import Candidate, Chosen, choose_target
 from monsoonpier.balancer.tokens.decision import Balancer
 from monsoonpier.model.keys import Key, KeyRing
 from monsoonpier.model.service import Preference
 from monsoonpier.model.target import Condition, LoadReport, TargetRecord
-from monsoonpier.model.token import HolderToken, seal_token
+from monsoonpier.model.token import FlowToken, seal_token
 from monsoonpier.wire.datagrams import Ping, caller_codec
 from monsoonpier.wire.frames import BalancerRecord
 
@@ -109,7 +109,7 @@
 
 def _steered(balancer: Balancer, flow: bytes, target: int, draw: random.Random) -> int:
     """Return the target to which monsoonpier steers a packet, 0 if it is dropped."""
-    token = HolderToken(
+    token = FlowToken(
         service="maps", ip=f"10.1.0.{target}", port=9000, instance=bytes([target]) * 8
     )
     sealed = seal_token(token, flow=flow, keys=KEYS)
@@ -258,7 +258,7 @@
             )
             for t in self.targets
         ]
-        choice = choose(
+        choice = choose_target(
             candidates,
             data_centre="dc-1",
             prefer=Preference.ANY,
--- a/monsoonpier/agent/balancer_link.py
+++ b/monsoonpier/agent/balancer_link.py
@@ -8,18 +8,18 @@
 import msgspec
 import structlog
 
-from monsoonpier.agent.witnesses import Witnesses
-from monsoonpier.documents.stored import unpack, unstore
+from monsoonpier.agent.heartbeat_peers import HeartbeatPeers
+from monsoonpier.documents.stored import decode_configuration, unpack
 from monsoonpier.model.evacuation import Evacuations
 from monsoonpier.model.service import Configuration
 from monsoonpier.model.settings import Settings
 from monsoonpier.model.target import Condition, LoadReport, TargetRecord
-from monsoonpier.process.control import NoAnswer, ask
+from monsoonpier.process.control import NoResponseError, send_request
 from monsoonpier.process.registry import registered_balancers
 from monsoonpier.store.backoff import Backoff
 from monsoonpier.store.interface import Store, StoreError
 from monsoonpier.store.keys import BALANCERS
-from monsoonpier.wire.control import AskConfiguration, ConfigurationReply
+from monsoonpier.wire.control import ConfigurationReply, ConfigurationRequest
 from monsoonpier.wire.frames import (
     Announce,
     BalancerRecord,
@@ -94,7 +94,7 @@
         self._on_evacuation = evacuate
         self._draw = draw
         self._codec = FrameCodec(keys=settings.keys)
-        self._peers = Witnesses(target=settings.name)
+        self._peers = HeartbeatPeers(target=settings.name)
         self._store = store
         self._fetch_task: asyncio.Task | None = None
         self._read_task: asyncio.Task | None = None
@@ -140,7 +140,7 @@
         )
         self.announce(self.record.condition)
 
-    def acknowledged(self, ack: HeartbeatAck) -> bool:
+    def handle_ack(self, ack: HeartbeatAck) -> bool:
         """Process a balancer's response; return whether the target is allowed.
 
         A response under an older configuration than the agent's does not
@@ -148,7 +148,7 @@
         """
         self._peers.record_ack(ack, now=_now())
         self._apply_evacuation(ack)
-        epoch = self._peers.epoch_beyond(ack, epoch=self.record.epoch)
+        epoch = self._peers.next_epoch(ack, epoch=self.record.epoch)
         if epoch is not None:
             _log.warning(
                 "wall clock was set back", epoch=self.record.epoch, held=epoch - 1
@@ -210,10 +210,10 @@
         to seeds need no such limit.
         """
         read_backoff = Backoff(
-            first_seconds=MIN_FIND_SECONDS, most_seconds=MAX_FIND_SECONDS
+            initial_seconds=MIN_FIND_SECONDS, max_seconds=MAX_FIND_SECONDS
         )
         announce_backoff = Backoff(
-            first_seconds=MIN_ANNOUNCE_SECONDS, most_seconds=MAX_ANNOUNCE_SECONDS
+            initial_seconds=MIN_ANNOUNCE_SECONDS, max_seconds=MAX_ANNOUNCE_SECONDS
         )
         # Read at once: balancers registered earlier are likely to be up again
         # soon.
@@ -247,7 +247,7 @@
 
     async def _read_store(self) -> None:
         try:
-            found = await self._store.read(BALANCERS, prefix=True, may_be_old=True)
+            found = await self._store.read(BALANCERS, prefix=True, may_be_stale=True)
         except StoreError as error:
             _log.info("reading balancers from the store failed", reason=str(error))
             return
@@ -262,12 +262,14 @@
             self._fetch_task = asyncio.create_task(self._fetch(balancer))
 
     async def _fetch(self, balancer: BalancerRecord) -> None:
-        request = AskConfiguration(
+        request = ConfigurationRequest(
             newer_than=self.configuration.version, service=self.record.service
         )
         try:
-            reply = await ask(balancer.control, request, keys=self._settings.keys)
-        except NoAnswer as error:
+            reply = await send_request(
+                balancer.control, request, keys=self._settings.keys
+            )
+        except NoResponseError as error:
             _log.info("fetching the configuration failed", reason=str(error))
             return
         if isinstance(reply, ConfigurationReply) and reply.packed:
@@ -276,7 +278,7 @@
     def _apply_configuration(self, packed: bytes) -> None:
         """Apply a configuration unless it is older than the present one."""
         try:
-            configuration = unstore(unpack(packed))
+            configuration = decode_configuration(unpack(packed))
         except ValueError as error:
             _log.error("stored configuration not usable", reason=str(error))
             return
--- a/monsoonpier/agent/packets/holder.py
+++ b/monsoonpier/agent/packets/owner.py
@@ -19,28 +19,28 @@
 )
 from monsoonpier.agent.packets.admission import FlowAdmission
 from monsoonpier.agent.packets.flows import PacketFlow, Phase
+from monsoonpier.agent.packets.instance_state import InstanceState
 from monsoonpier.agent.packets.load import TargetLoad
 from monsoonpier.agent.packets.load_reports import LoadReports
 from monsoonpier.agent.packets.queue import QueuedSyn
-from monsoonpier.agent.packets.target_knowledge import InstanceState
 from monsoonpier.model.address import Address
 from monsoonpier.model.target import Condition, LoadReport
 from monsoonpier.process.logs import DecisionLog
 from monsoonpier.wire.frames import (
-    Carry,
-    Held,
-    Holds,
-    NotHeld,
-    Offer,
-    PassOn,
-    Queued,
-    Reserve,
-    Turned,
-    Whose,
+    FlowNotOwned,
+    FlowOwned,
+    ForwardPacket,
+    OfferSlot,
+    OwnershipQuery,
+    OwnershipReply,
+    RelayPacket,
+    ReserveSlot,
+    SynQueued,
+    SynRejected,
 )
 from monsoonpier.wire.packet import Packet, sequence_distance
 
-__all__ = ["PacketHolder"]
+__all__ = ["PacketFlowOwner"]
 
 ENDED_FLOW_SECONDS = 5.0  # last packets of an ended flow still reach the target
 HALF_OPEN_SECONDS = 3.0  # callers give up a SYN sooner
@@ -56,7 +56,7 @@
 MAX_PENDING_QUERIES = 256
 
 
-class PacketHolder:
+class PacketFlowOwner:
     """The flows of one target and the decisions on their packets. Does no I/O.
 
     Args:
@@ -81,7 +81,7 @@
         self._service = service
         self._flows_by_address: dict[bytes, PacketFlow] = {}
         self._target_state = InstanceState()
-        self._pending_queries: deque[tuple[tuple[str, int], Whose]] = deque(
+        self._pending_queries: deque[tuple[tuple[str, int], OwnershipQuery]] = deque(
             maxlen=MAX_PENDING_QUERIES
         )
         self._first_query_at = 0.0
@@ -147,7 +147,7 @@
         """Whether the target has been absent for so long that none is left."""
         return self.is_absent and self._target_state.knows_all_flows
 
-    def started(
+    def instance_started(
         self, instance: bytes, *, is_first: bool, is_young: bool = False, now: float
     ) -> list:
         """Record the target's instance; return resets for an earlier one's flows.
@@ -208,7 +208,7 @@
     # Packets of callers
 
     def ask(
-        self, query: Whose, *, sender: tuple[str, int], now: float
+        self, query: OwnershipQuery, *, sender: tuple[str, int], now: float
     ) -> list[ToProcess]:
         """Answer a balancer's query for owners now, or once the target is known."""
         if self._target_state.instance or self._target_state.knows_all_flows:
@@ -232,20 +232,20 @@
         self._pending_queries.clear()
         return replies
 
-    def answer(self, query: Whose, *, now: float) -> Holds:
+    def answer(self, query: OwnershipQuery, *, now: float) -> OwnershipReply:
         """Return which of the queried flows the target owns."""
         owned = tuple(flow for flow in query.flows if self._owns(flow))
         # The target never owns flows of another service.
-        is_sure = (
+        is_conclusive = (
             self._target_state.knows_all_flows
             or self.condition is Condition.GONE
             or query.service != self._service
         )
-        return Holds(
+        return OwnershipReply(
             question=query.question,
             agent=self._name,
             held=owned,
-            is_sure=is_sure,
+            is_conclusive=is_conclusive,
             run_ms=self._target_state.run_ms(now=now),
             is_absent=self.is_absent,
         )
@@ -266,7 +266,12 @@
         return flow.is_open or flow.target_sequence is not None
 
     def from_balancer(
-        self, frame: Carry, packet: Packet, *, sender: tuple[str, int], now: float
+        self,
+        frame: ForwardPacket,
+        packet: Packet,
+        *,
+        sender: tuple[str, int],
+        now: float,
     ) -> list:
         """Decide on a caller's packet that a balancer has forwarded."""
         actions = self._handle_from_balancer(frame, packet, sender=sender, now=now)
@@ -274,7 +279,9 @@
             actions + self._admission.admit_queued(now=now), now=now
         )
 
-    def reserve(self, frame: Reserve, *, balancer: tuple[str, int], now: float) -> list:
+    def reserve(
+        self, frame: ReserveSlot, *, balancer: tuple[str, int], now: float
+    ) -> list:
         """Record that a balancer wants a slot for a flow that waits there."""
         self._admission.reserve(frame, balancer=balancer, now=now)
         return self._update_accounting(self._admission.admit_queued(now=now), now=now)
@@ -289,7 +296,8 @@
         for action in actions:
             match action:
                 case ToProcess(
-                    endpoint=balancer, frame=Held() | Offer() | Queued() | Turned()
+                    endpoint=balancer,
+                    frame=FlowOwned() | OfferSlot() | SynQueued() | SynRejected(),
                 ):
                     condition = self._admission.announced_condition
                     self._reports.mark_reported(balancer, condition=condition, now=now)
@@ -298,7 +306,12 @@
         return actions
 
     def _handle_from_balancer(
-        self, frame: Carry, packet: Packet, *, sender: tuple[str, int], now: float
+        self,
+        frame: ForwardPacket,
+        packet: Packet,
+        *,
+        sender: tuple[str, int],
+        now: float,
     ) -> list:
         """Return the actions for a caller's packet."""
         flow = self._flows_by_address.get(packet.flow)
@@ -311,7 +324,7 @@
         flow.seen_at = now
         if flow.is_open:
             actions = self._deliver(packet, flow, now=now)
-            if frame.asks:
+            if frame.wants_reply:
                 actions.append(
                     self._owned_reply(packet.flow, sender=sender, is_open=True, now=now)
                 )
@@ -321,20 +334,25 @@
             return [ToTarget(raw=packet.raw)]
         return self._handle_first_packet(frame, packet, flow, sender=sender, now=now)
 
-    def relay(self, frame: PassOn, *, balancer: tuple[str, int]) -> list[ToProcess]:
+    def relay(
+        self, frame: RelayPacket, *, balancer: tuple[str, int]
+    ) -> list[ToProcess]:
         """Return frames that relay a packet to other agents.
 
         Those agents reply to the balancer that sent it.
         """
         self.counts_by_result["passed_on"] += len(frame.endpoints)
-        carry = Carry(
-            service=frame.service, payload=frame.payload, asks=True, reply_to=balancer
+        carry = ForwardPacket(
+            service=frame.service,
+            payload=frame.payload,
+            wants_reply=True,
+            reply_to=balancer,
         )
         return [ToProcess(endpoint=place, frame=carry) for place in frame.endpoints]
 
     def _handle_syn(
         self,
-        frame: Carry,
+        frame: ForwardPacket,
         packet: Packet,
         flow: PacketFlow | None,
         *,
@@ -349,7 +367,7 @@
 
     def _handle_first_packet(
         self,
-        frame: Carry,
+        frame: ForwardPacket,
         packet: Packet,
         flow: PacketFlow,
         *,
@@ -360,14 +378,14 @@
         first = flow.target_sequence
         if first is None or not packet.is_ack:
             return self._not_owned_reply(
-                packet, sender=sender, now=now, omit_payload=frame.asks
+                packet, sender=sender, now=now, omit_payload=frame.wants_reply
             )
         if sequence_distance(first, packet.acknowledged) > MAX_OPENING_BYTES:
             # A retransmission of the SYN has opened the flow at another
             # target.
             self._remove(packet.flow, now=now)
             return self._not_owned_reply(
-                packet, sender=sender, now=now, omit_payload=frame.asks
+                packet, sender=sender, now=now, omit_payload=frame.wants_reply
             )
         self._admission.record_response_time(now - flow.phase_began_at)
         self._mark_open(packet.flow, flow, now=now)
@@ -399,7 +417,12 @@
         return [ToTarget(raw=packet.raw)]
 
     def _handle_unknown_flow(
-        self, frame: Carry, packet: Packet, *, sender: tuple[str, int], now: float
+        self,
+        frame: ForwardPacket,
+        packet: Packet,
+        *,
+        sender: tuple[str, int],
+        now: float,
     ) -> list:
         """Probe an unknown flow at the target, if it may own the flow."""
         may_be_owned = frame.service == self._service or (
@@ -408,7 +431,7 @@
         has_ended = self.condition is Condition.GONE
         if self._target_state.knows_all_flows or has_ended or not may_be_owned:
             return self._not_owned_reply(
-                packet, sender=sender, now=now, omit_payload=frame.asks
+                packet, sender=sender, now=now, omit_payload=frame.wants_reply
             )
         self._flows_by_address[packet.flow] = PacketFlow(
             caller_ip=packet.caller_ip,
@@ -417,7 +440,7 @@
             phase_began_at=now,
             acknowledged=packet.acknowledged,
             probe_packet=packet,
-            balancer_keeps_packet=frame.asks,
+            balancer_keeps_packet=frame.wants_reply,
         )
         self.counts_by_result["guessed"] += 1
         self._log.note("unknown flow probed at the target", now=now, flow=packet.flow)
@@ -582,7 +605,7 @@
     ) -> ToProcess:
         """Return the frame that reports to a balancer that the flow is owned."""
         load = self.load(now=now)
-        frame = Held(flow=flow, agent=self._name, load=load, is_open=is_open)
+        frame = FlowOwned(flow=flow, agent=self._name, load=load, is_open=is_open)
         return ToProcess(endpoint=sender, frame=frame)
 
     def _not_owned_reply(
@@ -604,7 +627,7 @@
         if not sender[1]:
             return []  # No balancer sent it: the flow was learned from the target.
         payload = b"" if omit_payload else packet.raw
-        frame = NotHeld(agent=self._name, flow=packet.flow, payload=payload)
+        frame = FlowNotOwned(agent=self._name, flow=packet.flow, payload=payload)
         return [ToProcess(endpoint=sender, frame=frame)]
 
 
--- a/monsoonpier/agent/packets/process.py
+++ b/monsoonpier/agent/packets/process.py
@@ -13,37 +13,37 @@
     ToProcess,
     ToTarget,
 )
-from monsoonpier.agent.packets.announcement import TargetAnnouncement, TargetLeft
-from monsoonpier.agent.packets.holder import PacketHolder
-from monsoonpier.agent.packets.liveness import TargetLiveness
-from monsoonpier.agent.packets.target_run import (
+from monsoonpier.agent.packets.instance_history import (
     InstanceHistory,
     NewInstance,
     StaleHeartbeat,
 )
+from monsoonpier.agent.packets.liveness import TargetLiveness
+from monsoonpier.agent.packets.messages import LeaveNotice, TargetHeartbeat
+from monsoonpier.agent.packets.owner import PacketFlowOwner
 from monsoonpier.link.schedule import Urgency
 from monsoonpier.link.sender import LinkSender
 from monsoonpier.model.address import Address
 from monsoonpier.model.settings import Settings
 from monsoonpier.model.target import ABSENT_SECONDS, Condition
-from monsoonpier.process.control import ControlServer, answer_drain
+from monsoonpier.process.control import ControlServer, handle_drain
 from monsoonpier.process.frames import send_frame
-from monsoonpier.process.life import ProcessLife, run_until_left
-from monsoonpier.process.logs import DecisionLog, flow_name
-from monsoonpier.process.readings import counter, gauge
+from monsoonpier.process.lifecycle import ProcessLifecycle, run_until_shutdown
+from monsoonpier.process.logs import DecisionLog, format_flow
+from monsoonpier.process.metrics import counter, gauge
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.process.web import WebServer
 from monsoonpier.store.interface import Store
 from monsoonpier.wire.codec import Dropped
-from monsoonpier.wire.control import AskDrain, AskStatus, StatusReply
+from monsoonpier.wire.control import DrainRequest, StatusReply, StatusRequest
 from monsoonpier.wire.frames import (
-    Carry,
-    Decline,
+    DeclineSlot,
+    ForwardPacket,
     FrameCodec,
     HeartbeatAck,
-    PassOn,
-    Reserve,
-    Whose,
+    OwnershipQuery,
+    RelayPacket,
+    ReserveSlot,
 )
 from monsoonpier.wire.packet import PacketCodec
 
@@ -94,23 +94,23 @@
         self._packet_codec = codec
         self._store = store
         self._draw = random.Random()
-        self._life = ProcessLife()
+        self._life = ProcessLifecycle()
         self._started = time.monotonic()
         self._frame_codec = FrameCodec(keys=settings.keys)
         self._sender = LinkSender(bits_per_second=settings.link_bits_per_second)
-        self._holder = PacketHolder(
+        self._owner = PacketFlowOwner(
             name=settings.name,
             service=settings.target.service,
             slots=settings.target.slots,
             connections=settings.target.connections,
-            log=DecisionLog("monsoonpier.agent.packets.holder"),
+            log=DecisionLog("monsoonpier.agent.packets.owner"),
         )
         self._link = BalancerLink(
             settings=settings,
             store=store,
             record=target_record(settings, instance=b""),
             send=self._send_frame,
-            read_load=lambda: self._holder.load(now=_now()),
+            read_load=lambda: self._owner.load(now=_now()),
             configure=None,
             evacuate=self._evacuate,
             draw=self._draw,
@@ -167,22 +167,22 @@
             self._link.run,
             self._liveness.run,
         )
-        await run_until_left(self._shut_down, tasks)
+        await run_until_shutdown(self._shut_down, tasks)
         await self._store.close()
         await self._web.stop()
         self._control.stop()
         self._internal.close()
         self._outbound.close()
-        _log.info("stopped", **self._holder.target_load.use.total.fields)
+        _log.info("stopped", **self._owner.target_load.use.total.fields)
 
     async def _shut_down(self) -> None:
         """Announce the target's condition, then wait for requests in flight."""
-        await self._life.wait_for_leaving()
+        await self._life.wait_for_shutdown()
         began = _now()
         if self._has_target_left:
             # The target has left, and agents are stopped only after it has
             # ended.
-            self._perform(self._holder.target_ended(now=_now()))
+            self._perform(self._owner.target_ended(now=_now()))
             await self._announce_gone()
         elif await self._wait_until_absent():
             await self._announce_gone()
@@ -190,7 +190,7 @@
             # The target may keep running, and another agent may start beside
             # it.
             self._set_condition(Condition.SHEDDING)
-        while self._holder.busy and _now() - began < MAX_SHUTDOWN_SECONDS:
+        while self._owner.busy and _now() - began < MAX_SHUTDOWN_SECONDS:
             await asyncio.sleep(0.02)
         self._life.step("finished")
 
@@ -210,33 +210,33 @@
         agent announces its target as gone.
         """
         until = _now() + MAX_ABSENT_SECONDS
-        while not (self._holder.has_seen_target or self._holder.has_no_target):
+        while not (self._owner.has_seen_target or self._owner.has_no_target):
             if _now() > until:
                 break  # The address no longer answers at all.
             await asyncio.sleep(ABSENT_CHECK_SECONDS)
-        return self._holder.has_no_target
+        return self._owner.has_no_target
 
     # Messages and liveness of the target
 
-    def take(self, message: TargetAnnouncement | TargetLeft) -> bool:
+    def take(self, message: TargetHeartbeat | LeaveNotice) -> bool:
         """Handle a message of the target; return whether to acknowledge it."""
         match message:
-            case TargetAnnouncement():
+            case TargetHeartbeat():
                 return self._handle_heartbeat(message)
-            case TargetLeft():
+            case LeaveNotice():
                 return self._handle_leave(message)
         return False
 
-    def _handle_heartbeat(self, heartbeat: TargetAnnouncement) -> bool:
+    def _handle_heartbeat(self, heartbeat: TargetHeartbeat) -> bool:
         """Apply a heartbeat unless it is stale; return that it is acknowledged."""
-        holder = self._holder
+        owner = self._owner
         match self._instances.classify(heartbeat, has_ended=self._has_target_ended):
             case StaleHeartbeat():
                 _log.info(
                     "stale heartbeat ignored",
                     instance=heartbeat.run.instance.decode(),
                     sequence=heartbeat.sequence,
-                    served=holder.instance.decode(),
+                    served=owner.instance.decode(),
                 )
                 return True
             case NewInstance():
@@ -244,11 +244,11 @@
                 is_new = True
             case _:
                 is_new = False
-        holder.target_load.slots = heartbeat.slots
-        holder.target_load.set_cold_until(_now() + heartbeat.cold_seconds)
+        owner.target_load.slots = heartbeat.slots
+        owner.target_load.set_cold_until(_now() + heartbeat.cold_seconds)
         self._life.step("configured")
         may_be_delayed = _now() - self._gone_at < MAX_HEARTBEAT_DELAY_SECONDS
-        if not is_new and may_be_delayed and holder.condition is Condition.UNRESPONSIVE:
+        if not is_new and may_be_delayed and owner.condition is Condition.UNRESPONSIVE:
             return True  # Probably sent before the target ended.
         condition = Condition.LEAVING if heartbeat.is_draining else Condition.SERVING
         if self._life.state == "leaving" and not heartbeat.is_draining:
@@ -258,9 +258,9 @@
 
     @property
     def _has_target_ended(self) -> bool:
-        return self._has_target_left or self._holder.condition is Condition.UNRESPONSIVE
+        return self._has_target_left or self._owner.condition is Condition.UNRESPONSIVE
 
-    def _begin_instance(self, heartbeat: TargetAnnouncement) -> None:
+    def _begin_instance(self, heartbeat: TargetHeartbeat) -> None:
         """Serve a new instance of the target and reset flows of the last one."""
         instance = heartbeat.run.instance
         _log.info(
@@ -272,16 +272,16 @@
         )
         self._has_target_left = False
         self._link.set_instance(instance, slots=heartbeat.slots)
-        resets = self._holder.started(
+        resets = self._owner.instance_started(
             instance,
             is_first=heartbeat.sequence <= 1,
             is_young=heartbeat.cold_seconds > 0,
             now=_now(),
         )
         self._perform(resets)
-        self._perform(self._holder.answer_pending(now=_now()))
+        self._perform(self._owner.answer_pending(now=_now()))
 
-    def _handle_leave(self, notice: TargetLeft) -> bool:
+    def _handle_leave(self, notice: LeaveNotice) -> bool:
         """Stop taking new flows if the current instance of the target leaves."""
         instance = notice.run.instance.decode()
         if self._instances.is_current(notice.run):
@@ -300,7 +300,7 @@
         A target that is leaving reports it with its next heartbeat, within
         about a second.
         """
-        if self._holder.condition is Condition.STARTING:
+        if self._owner.condition is Condition.STARTING:
             self._life.step("configured")
             self._set_condition(Condition.SERVING)
 
@@ -310,16 +310,16 @@
         A leaving target is an exception, since it may only have stopped
         listening.
         """
-        if self._has_target_left or self._holder.condition is Condition.UNRESPONSIVE:
+        if self._has_target_left or self._owner.condition is Condition.UNRESPONSIVE:
             return
-        if self._holder.condition is Condition.LEAVING:
+        if self._owner.condition is Condition.LEAVING:
             # Its leave notice may have been lost. It may keep running without
             # listening, and own flows, until its VM is stopped.
             self._has_target_left = True
             _log.info("draining target does not listen")
             return
         self._gone_at = _now()
-        resets = self._holder.target_ended(now=self._gone_at)
+        resets = self._owner.target_ended(now=self._gone_at)
         _log.warning("target does not listen", flows=len(resets))
         self._set_condition(Condition.UNRESPONSIVE)
         self._perform(resets)
@@ -331,16 +331,16 @@
         target after a loss of power may be stopped before any balancer sends
         one.
         """
-        self._holder.note_no_listener(now=_now())
-        if self._holder.is_absent and not self._link.record.is_absent:
+        self._owner.note_no_listener(now=_now())
+        if self._owner.is_absent and not self._link.record.is_absent:
             self._link.announce_no_target()
 
     def _set_condition(self, condition: Condition, *, announce: bool = False) -> None:
         """Set the target's condition and announce it if it has changed."""
-        if condition is self._holder.condition and not announce:
+        if condition is self._owner.condition and not announce:
             return
-        before = self._holder.condition
-        self._holder.condition = condition
+        before = self._owner.condition
+        self._owner.condition = condition
         self._link.announce(condition)
         self._report_soon()
         _log.info(
@@ -351,12 +351,12 @@
         """Apply the limit of the configuration, unless a newer one is known."""
         if ack.version >= self._cold_limit_version:
             self._cold_limit_version = ack.version
-            self._holder.target_load.cold.per_second = ack.cold_per_second
+            self._owner.target_load.cold.per_second = ack.cold_per_second
 
     def _evacuate(self) -> None:
         """Apply a new evacuation order, also to SYNs that wait here."""
-        self._holder.is_evacuated = self._link.is_evacuated
-        self._perform(self._holder.expire(now=_now()))
+        self._owner.is_evacuated = self._link.is_evacuated
+        self._perform(self._owner.expire(now=_now()))
 
     # Packets and frames
 
@@ -365,32 +365,34 @@
             return  # The sockets are still being opened.
         frame = self._frame_codec.decode(data)
         match frame:
-            case Carry():
+            case ForwardPacket():
                 self._receive_carried(frame, sender=frame.reply_to or sender)
-            case PassOn(service=service, payload=payload):
-                self._perform(self._holder.relay(frame, balancer=sender))
-                own = Carry(service=service, payload=payload, asks=True)
+            case RelayPacket(service=service, payload=payload):
+                self._perform(self._owner.relay(frame, balancer=sender))
+                own = ForwardPacket(service=service, payload=payload, wants_reply=True)
                 self._receive_carried(own, sender=sender)
-            case Whose():
-                self._perform(self._holder.ask(frame, sender=sender, now=_now()))
-            case Reserve():
-                self._perform(self._holder.reserve(frame, balancer=sender, now=_now()))
-            case Decline():
-                self._perform(self._holder.declined(balancer=sender, now=_now()))
+            case OwnershipQuery():
+                self._perform(self._owner.ask(frame, sender=sender, now=_now()))
+            case ReserveSlot():
+                self._perform(self._owner.reserve(frame, balancer=sender, now=_now()))
+            case DeclineSlot():
+                self._perform(self._owner.declined(balancer=sender, now=_now()))
             case HeartbeatAck():
-                self._link.acknowledged(frame)
+                self._link.handle_ack(frame)
                 self._apply_cold_limit(frame)
             case Dropped(reason=reason):
                 self._drop(reason)
             case _:
                 self._drop("unexpected")
 
-    def _receive_carried(self, frame: Carry, *, sender: tuple[str, int]) -> None:
+    def _receive_carried(
+        self, frame: ForwardPacket, *, sender: tuple[str, int]
+    ) -> None:
         packet = self._packet_codec.decode(frame.payload, from_target=False)
         if isinstance(packet, Dropped):
             self._drop(packet.reason)
             return
-        actions = self._holder.from_balancer(frame, packet, sender=sender, now=_now())
+        actions = self._owner.from_balancer(frame, packet, sender=sender, now=_now())
         self._perform(actions)
 
     def _receive_packet(self, data: bytes, sender: tuple[str, int]) -> None:
@@ -398,7 +400,7 @@
         if isinstance(packet, Dropped):
             self._drop(packet.reason)
             return
-        self._perform(self._holder.from_target(packet, now=_now()))
+        self._perform(self._owner.from_target(packet, now=_now()))
 
     def _perform(self, actions: list) -> None:
         for action in actions:
@@ -413,17 +415,17 @@
                     reset = self._packet_codec.reset(flow, acknowledged=acknowledged)
                     self._send_to_caller(reset, ip=ip, flow=flow)
                     _log.info(
-                        "caller reset", flow=flow_name(flow), reason="target ended"
+                        "caller reset", flow=format_flow(flow), reason="target ended"
                     )
         self._report_soon()
 
-        if self._expiry_timer is None and self._holder.is_waiting:
+        if self._expiry_timer is None and self._owner.is_waiting:
             loop = asyncio.get_running_loop()
             self._expiry_timer = loop.call_later(EXPIRY_CHECK_SECONDS, self._run_expiry)
 
     def _run_expiry(self) -> None:
         self._expiry_timer = None
-        self._perform(self._holder.expire(now=_now()))
+        self._perform(self._owner.expire(now=_now()))
 
     def _report_soon(self) -> None:
         if self._report_timer is None:
@@ -432,7 +434,7 @@
 
     def _report(self) -> None:
         self._report_timer = None
-        for action in self._holder.load_reports(now=_now()):
+        for action in self._owner.load_reports(now=_now()):
             self._send_frame(action.frame, action.endpoint)
 
     def _send_frame(self, frame, endpoint: tuple[str, int]) -> None:
@@ -460,14 +462,14 @@
     async def _tick_forever(self) -> None:
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            self._perform(self._holder.tick(now=_now()))
-            self._perform(self._holder.answer_pending(now=_now()))
+            self._perform(self._owner.tick(now=_now()))
+            self._perform(self._owner.answer_pending(now=_now()))
 
     # Control
 
     async def _answer_control(self, message):
         match message:
-            case AskStatus():
+            case StatusRequest():
                 return StatusReply(
                     name=self._settings.name,
                     role="agent",
@@ -475,23 +477,23 @@
                     state=self._life.state,
                     version=0,
                     uptime=_now() - self._started,
-                    slot_use=self._holder.target_load.use_fields,
+                    slot_use=self._owner.target_load.use_fields,
                 )
-            case AskDrain():
+            case DrainRequest():
                 name = self._settings.name
-                return answer_drain(message, name=name, life=self._life)
+                return handle_drain(message, name=name, life=self._life)
         return None
 
     def _metrics(self):
         yield gauge("uptime_seconds", "Time since start.", _now() - self._started)
-        yield gauge("flows", "Flows that the target owns.", self._holder.flows)
-        yield gauge("busy", "Requests in flight at the target.", self._holder.busy)
-        failed = self._holder.target_load.failed_percent(now=_now())
+        yield gauge("flows", "Flows that the target owns.", self._owner.flows)
+        yield gauge("busy", "Requests in flight at the target.", self._owner.busy)
+        failed = self._owner.target_load.failed_percent(now=_now())
         yield gauge("failed_percent", "Recent requests that failed, in %.", failed)
-        yield self._holder.target_load.answer_seconds
-        yield from self._holder.target_load.readings
-        yield from self._sender.readings
-        results = self._holder.counts_by_result
+        yield self._owner.target_load.answer_seconds
+        yield from self._owner.target_load.readings
+        yield from self._sender.metrics
+        results = self._owner.counts_by_result
         yield counter("flow_decisions", "Decisions on flows.", results, "result")
         drops = self._dropped_by_reason
         yield counter("dropped_datagrams", "Datagrams dropped.", drops, "reason")
--- a/monsoonpier/agent/tokens/process.py
+++ b/monsoonpier/agent/tokens/process.py
@@ -14,11 +14,11 @@
     Credit,
     EndStream,
     Reply,
-    Return,
+    ReturnOpen,
     Run,
     StartStream,
 )
-from monsoonpier.agent.tokens.holder import Holder
+from monsoonpier.agent.tokens.owner import FlowOwner
 from monsoonpier.agent.tokens.runner import (
     Event,
     ItemRead,
@@ -31,27 +31,27 @@
 from monsoonpier.model.service import Configuration
 from monsoonpier.model.settings import Settings
 from monsoonpier.model.target import Condition
-from monsoonpier.model.token import HolderToken
-from monsoonpier.process.control import ControlServer, answer_drain
+from monsoonpier.model.token import FlowToken
+from monsoonpier.process.control import ControlServer, handle_drain
 from monsoonpier.process.frames import send_frame
-from monsoonpier.process.life import ProcessLife, run_until_left
-from monsoonpier.process.readings import counter, gauge
+from monsoonpier.process.lifecycle import ProcessLifecycle, run_until_shutdown
+from monsoonpier.process.metrics import counter, gauge
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.process.web import WebServer
 from monsoonpier.store.etcd import EtcdStore
 from monsoonpier.wire import frames
 from monsoonpier.wire.codec import Dropped
 from monsoonpier.wire.control import (
-    AskDrain,
-    AskStatus,
+    DrainRequest,
     StatusReply,
+    StatusRequest,
 )
 from monsoonpier.wire.datagrams import Opened, reply_codec
 from monsoonpier.wire.frames import (
-    Bounce,
-    Forward,
+    ForwardDatagram,
     FrameCodec,
     HeartbeatAck,
+    OpenReturned,
 )
 
 __all__ = ["AgentProcess"]
@@ -72,16 +72,16 @@
         assert settings.metrics
         self._settings = settings
         self._draw = random.Random()
-        self._life = ProcessLife()
+        self._life = ProcessLifecycle()
         self._started = time.monotonic()
         instance = os.urandom(INSTANCE_BYTES)
-        token = HolderToken(
+        token = FlowToken(
             service=settings.target.service,
             ip=settings.internal.ip,
             port=settings.internal.port,
             instance=instance,
         )
-        self._owner = Holder(
+        self._owner = FlowOwner(
             token=token,
             keys=settings.keys,
             slots=settings.target.slots,
@@ -108,7 +108,7 @@
         self._web = WebServer(
             address=settings.metrics,
             read_metrics=self._metrics,
-            is_ready=lambda: self._life.is_ready and self._owner.life.takes_flows,
+            is_ready=lambda: self._life.is_ready and self._owner.lifecycle.takes_flows,
         )
         self._dropped_frames: dict[str, int] = {}
         self._control_bytes = {"in": 0, "out": 0}
@@ -133,15 +133,15 @@
             self._check_health_forever,
             self._link.run,
         )
-        await run_until_left(self._drain_and_finish, jobs)
+        await run_until_shutdown(self._drain_and_finish, jobs)
         await self._stop()
 
     async def _drain_and_finish(self) -> None:
         """Wait for a shutdown, drain, and announce that the target is gone."""
-        await self._life.wait_for_leaving()
+        await self._life.wait_for_shutdown()
         self._shutdown_requested = True
         self._execute(self._owner.leave(now=_now()))
-        self._link.announce(self._owner.life.condition)
+        self._link.announce(self._owner.lifecycle.condition)
         while not self._owner.is_finished(now=_now()):
             await asyncio.sleep(TICK_SECONDS)
         for _ in range(GONE_ANNOUNCEMENTS):
@@ -163,8 +163,8 @@
     def _receive(self, data: bytes, sender: tuple[str, int]) -> None:
         frame = self._codec.decode(data)
         match frame:
-            case Forward():
-                actions = self._owner.forwarded(
+            case ForwardDatagram():
+                actions = self._owner.handle_datagram(
                     frame, via=sender, now=_now(), draw=self._draw
                 )
                 self._execute(actions)
@@ -194,11 +194,11 @@
                     self._runner.credit(action)
                 case EndStream():
                     self._runner.end_stream(action)
-                case Return():
+                case ReturnOpen():
                     self._return_open(action)
 
     def _send_reply(self, reply: Reply) -> None:
-        frame = frames.Return(
+        frame = frames.ReplyDatagram(
             service=self._settings.target.service,
             ip=reply.ip,
             port=reply.port,
@@ -209,9 +209,9 @@
         )
         self._send(frame, reply.via)
 
-    def _return_open(self, action: Return) -> None:
+    def _return_open(self, action: ReturnOpen) -> None:
         """Return an OPEN to its balancer, which can attempt another target."""
-        frame = Bounce(
+        frame = OpenReturned(
             service=self._settings.target.service,
             ip=action.ip,
             port=action.port,
@@ -227,7 +227,7 @@
     # Events from the target
 
     def _handle_event(self, event: Event) -> None:
-        previous = self._owner.life.label
+        previous = self._owner.lifecycle.label
         match event:
             case RunEnded(key=key, result=result):
                 actions = self._owner.run_ended(
@@ -251,29 +251,29 @@
 
     def _handle_health(self, health: HealthStatus) -> None:
         """Drain if the target asks for it; serve again if it is healthy."""
-        previous = self._owner.life.label
+        previous = self._owner.lifecycle.label
         if health.draining:
             self._execute(self._owner.leave(now=_now()))
         elif health.healthy:
             may_stay = self._is_allowed and not self._shutdown_requested
-            if self._owner.life.is_leaving and may_stay:
+            if self._owner.lifecycle.is_leaving and may_stay:
                 self._owner.stay(now=_now())
-            self._owner.life = self._owner.life.healthy(now=_now())
+            self._owner.lifecycle = self._owner.lifecycle.healthy(now=_now())
         self._announce_if_changed(previous)
 
     async def _tick_forever(self) -> None:
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            previous = self._owner.life.label
+            previous = self._owner.lifecycle.label
             self._execute(self._owner.tick(now=_now(), draw=self._draw))
             self._announce_if_changed(previous)
 
     def _announce_if_changed(self, previous: str) -> None:
         """Announce a changed target state without waiting for the next heartbeat."""
-        label = self._owner.life.label
+        label = self._owner.lifecycle.label
         if label != previous:
             _log.info("target state changed", before=previous, after=label)
-            self._link.announce(self._owner.life.condition)
+            self._link.announce(self._owner.lifecycle.condition)
 
     # Balancers
 
@@ -292,8 +292,8 @@
 
     def _handle_heartbeat_ack(self, ack: HeartbeatAck) -> None:
         """Handle a heartbeat's reply; drain while the target is not allowed."""
-        previous = self._owner.life.label
-        self._is_allowed = self._link.acknowledged(ack)
+        previous = self._owner.lifecycle.label
+        self._is_allowed = self._link.handle_ack(ack)
         if not self._is_allowed:
             self._execute(self._owner.leave(now=_now()))
         self._announce_if_changed(previous)
@@ -306,25 +306,25 @@
 
     def _evacuate(self) -> None:
         """Apply an evacuation order or its revocation; open flows keep their work."""
-        life = self._owner.life
-        self._owner.life = life.with_evacuation(self._link.is_evacuated)
+        life = self._owner.lifecycle
+        self._owner.lifecycle = life.with_evacuation(self._link.is_evacuated)
 
     # Control requests and metrics
 
     async def _answer(self, message):
         match message:
-            case AskStatus():
+            case StatusRequest():
                 return StatusReply(
                     name=self._settings.name,
                     role="agent",
                     data_centre=self._settings.data_centre,
-                    state=self._owner.life.label,
+                    state=self._owner.lifecycle.label,
                     version=self._link.configuration.version,
                     uptime=_now() - self._started,
                 )
-            case AskDrain():
+            case DrainRequest():
                 name = self._settings.name
-                return answer_drain(message, name=name, life=self._life)
+                return handle_drain(message, name=name, life=self._life)
         return None
 
     def _metrics(self):
@@ -354,7 +354,7 @@
         for reason, count in self._dropped_frames.items():
             drops[reason] = drops.get(reason, 0) + count
         yield counter("dropped_datagrams", "Dropped datagrams.", drops, "reason")
-        yield from self._sender.readings
+        yield from self._sender.metrics
         yield counter(
             "control_bytes",
             "Bytes of control traffic.",
--- a/monsoonpier/agent/tokens/replies.py
+++ b/monsoonpier/agent/tokens/replies.py
@@ -5,9 +5,9 @@
 from monsoonpier.wire.datagrams import (
     MAX_MILLIS,
     MAX_MISSING,
+    FinalStatus,
+    FinalStatusKind,
     Progress,
-    Verdict,
-    VerdictKind,
 )
 
 __all__ = ["already_done", "progress", "final_status"]
@@ -17,22 +17,22 @@
     """Return a message that says which parts of a request have been received."""
     if request.stage is not Stage.RECEIVING:
         return Progress(
-            flow=flow.id, request=request.id, have_below=request.parts, whole=True
+            flow=flow.id, request=request.id, received_below=request.parts, whole=True
         )
     return Progress(
         flow=flow.id,
         request=request.id,
-        have_below=request.have_below,
+        received_below=request.received_below,
         missing=request.missing(MAX_MISSING),
     )
 
 
-def already_done(flow: Flow, request_id: int) -> Verdict:
+def already_done(flow: Flow, request_id: int) -> FinalStatus:
     """Return the final status of a request id below the flow's watermark."""
-    return Verdict(
+    return FinalStatus(
         flow=flow.id,
         request=request_id,
-        kind=VerdictKind.ALREADY_DONE,
+        kind=FinalStatusKind.ALREADY_DONE,
         reason="already done",
     )
 
@@ -40,14 +40,14 @@
 def final_status(
     flow: Flow,
     request: Request,
-    kind: VerdictKind,
+    kind: FinalStatusKind,
     reason: str,
     *,
     retry_after_ms: int = 0,
     reopen: bool = False,
-) -> Verdict:
+) -> FinalStatus:
     """Return a final status; cuts values that exceed the limits of the wire format."""
-    return Verdict(
+    return FinalStatus(
         flow=flow.id,
         request=request.id,
         kind=kind,
--- a/monsoonpier/balancer/member.py
+++ b/monsoonpier/balancer/node.py
@@ -22,26 +22,31 @@
 from monsoonpier.model.revision import Revision
 from monsoonpier.model.settings import Settings
 from monsoonpier.model.waiting_summary import WaitingSummary
-from monsoonpier.process.control import ControlServer, NoAnswer, answer_drain, ask
+from monsoonpier.process.control import (
+    ControlServer,
+    NoResponseError,
+    handle_drain,
+    send_request,
+)
 from monsoonpier.process.frames import send_frame
-from monsoonpier.process.life import ProcessLife
+from monsoonpier.process.lifecycle import ProcessLifecycle
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.store.backoff import Backoff
 from monsoonpier.store.interface import Store
 from monsoonpier.wire.codec import Dropped
 from monsoonpier.wire.control import (
-    AskConfiguration,
-    AskDrain,
-    AskStatus,
-    AskTable,
     ConfigurationReply,
+    ConfigurationRequest,
+    DrainRequest,
     StatusReply,
+    StatusRequest,
     TableReply,
+    TableRequest,
     TargetStatus,
 )
 from monsoonpier.wire.frames import BalancerRecord, FrameCodec
 
-__all__ = ["Member", "balancer_record"]
+__all__ = ["BalancerNode", "balancer_record"]
 
 GOSSIP_SECONDS = 1.0
 UPDATE_CHECK_SECONDS = 0.1
@@ -55,7 +60,7 @@
 FIRST_JOIN_SECONDS = 0.03  # first interval of join messages
 MAX_JOIN_SECONDS = 0.2
 JOIN_PEERS = 4  # beside the seeds
-_log = structlog.get_logger("monsoonpier.balancer.member")
+_log = structlog.get_logger("monsoonpier.balancer.node")
 
 
 def balancer_record(settings: Settings) -> BalancerRecord:
@@ -71,7 +76,7 @@
     )
 
 
-class Member:
+class BalancerNode:
     """Runs a balancer's internal socket, control server, gossip and store link.
 
     Args:
@@ -92,7 +97,7 @@
         *,
         settings: Settings,
         membership: Membership,
-        life: ProcessLife,
+        life: ProcessLifecycle,
         sender: LinkSender,
         store: Store,
         take_frame: Callable[[object, tuple[str, int]], None],
@@ -272,7 +277,7 @@
             if before.of(order.data_centre) == order:
                 continue
             _log.info(
-                "evacuation in force" if order.is_active else "evacuation taken back",
+                "evacuation in force" if order.is_active else "evacuation revoked",
                 data_centre=order.data_centre,
                 revision=order.revision,
                 generation=order.generation,
@@ -298,7 +303,7 @@
     async def _gossip_forever(self) -> None:
         """Send gossip rounds at intervals, and at once when there are updates."""
         join_backoff = Backoff(
-            first_seconds=FIRST_JOIN_SECONDS, most_seconds=MAX_JOIN_SECONDS
+            initial_seconds=FIRST_JOIN_SECONDS, max_seconds=MAX_JOIN_SECONDS
         )
         while True:
             self._send_round(eager=False)
@@ -345,7 +350,7 @@
             self._gossip_to(endpoint)
 
     def _gossip_to(self, endpoint: tuple[str, int]) -> None:
-        self.do(self._membership.greeting(endpoint, now=_now(), draw=self._draw))
+        self.do(self._membership.extra_gossip(endpoint, now=_now(), draw=self._draw))
 
     async def _keep_contact_forever(self) -> None:
         """Probe peers when no frames arrive, and log lost and regained contact."""
@@ -376,12 +381,14 @@
         membership = self._membership
         match action:
             case FetchConfiguration():
-                request = AskConfiguration(newer_than=self._configuration.version)
+                request = ConfigurationRequest(newer_than=self._configuration.version)
             case FetchTable():
-                request = AskTable(digests=membership.table.bucket_digests)
+                request = TableRequest(digests=membership.table.bucket_digests)
         try:
-            reply = await ask(action.control, request, keys=self._settings.keys)
-        except NoAnswer as error:
+            reply = await send_request(
+                action.control, request, keys=self._settings.keys
+            )
+        except NoResponseError as error:
             _log.info("peer did not answer", reason=str(error))
             return
         match reply:
@@ -398,20 +405,20 @@
     async def _answer(self, message):
         membership = self._membership
         match message:
-            case AskConfiguration(newer_than=version, service=service):
+            case ConfigurationRequest(newer_than=version, service=service):
                 current = self._configuration.version
                 is_newer = current > version
                 packed = self._configuration.packed(service) if is_newer else b""
                 return ConfigurationReply(version=current, packed=packed)
-            case AskTable(digests=digests):
+            case TableRequest(digests=digests):
                 records = membership.table.records_in_differing_buckets(digests)
                 balancers = tuple(membership.peers.records_by_name.values())
                 return TableReply(records=records, balancers=balancers)
-            case AskStatus():
+            case StatusRequest():
                 return self._status()
-            case AskDrain():
+            case DrainRequest():
                 name = self._settings.name
-                return answer_drain(message, name=name, life=self._life)
+                return handle_drain(message, name=name, life=self._life)
         return None
 
     def _status(self) -> StatusReply:
--- a/monsoonpier/balancer/packets/queueing.py
+++ b/monsoonpier/balancer/packets/backlog.py
@@ -7,21 +7,21 @@
 import random
 from dataclasses import dataclass
 
+from monsoonpier.balancer.packets.context import SteeringContext
 from monsoonpier.balancer.packets.flows import FlowEntry
 from monsoonpier.balancer.packets.placement import (
     median_service_seconds,
-    reliable,
     wait_for_slot,
+    without_failing,
 )
 from monsoonpier.balancer.packets.presence import CallerPresence
 from monsoonpier.balancer.packets.reservations import SlotReservations
 from monsoonpier.balancer.packets.returning import EarlierAttempt
-from monsoonpier.balancer.packets.scope import SteeringContext
-from monsoonpier.balancer.packets.waiting import ServiceQueues
-from monsoonpier.balancer.steering import Candidate
+from monsoonpier.balancer.packets.service_queues import ServiceQueues
+from monsoonpier.balancer.target_choice import Candidate
 from monsoonpier.model.service import PacketRoute
 from monsoonpier.model.waiting import MARGIN_RUNS, WaitingFlow
-from monsoonpier.wire.frames import FirstAsked, Offer
+from monsoonpier.wire.frames import FirstAttemptReply, OfferSlot
 from monsoonpier.wire.packet import Packet
 
 __all__ = ["QueueRejection", "FlowBacklog", "wait_expires_at", "is_in_time"]
@@ -169,7 +169,7 @@
         self._presence.forget(flow)
         return flow, self._reservations.cancel(flow)
 
-    def claim(self, offer: Offer, *, now: float) -> tuple[bytes, list] | None:
+    def claim(self, offer: OfferSlot, *, now: float) -> tuple[bytes, list] | None:
         """Remove and return the flow that fits an offered slot best, if any.
 
         Also returns the frames that cancel its reservations at other agents.
@@ -180,7 +180,7 @@
         self._presence.forget(flow)
         return flow, self._reservations.cancel(flow, kept=offer.agent)
 
-    def decline(self, offer: Offer) -> list:
+    def decline(self, offer: OfferSlot) -> list:
         """Return the frames that decline an offer for which no flow is left."""
         return self._reservations.decline(offer)
 
@@ -218,14 +218,14 @@
             actions += self._reposition(flow, entry, now=now)
         return actions
 
-    def apply_first_attempt(self, frame: FirstAsked, *, now: float) -> list:
+    def apply_first_attempt(self, frame: FirstAttemptReply, *, now: float) -> list:
         """Apply the first attempt that a caller's directory balancer reports."""
         entry = self._context.flows.get(frame.flow)
         if entry is None or entry.syn is None:
             return []
-        asked_at = now - frame.asked_ms / 1000
+        first_attempt_at = now - frame.first_attempt_age_ms / 1000
         entry.link_earlier_attempt(
-            EarlierAttempt(asked_at=asked_at, attempts=frame.tries)
+            EarlierAttempt(first_attempt_at=first_attempt_at, attempts=frame.tries)
         )
         self._context.counts_by_result["asked_before"] += 1
         self._context.log.note(
@@ -242,7 +242,7 @@
         if route is None:
             return []
         table = self._context.membership.table
-        candidates = reliable(table.candidates_of(entry.service, now=now))
+        candidates = without_failing(table.packet_candidates(entry.service, now=now))
         waiting = _waiting_flow(
             flow,
             entry,
--- a/monsoonpier/balancer/packets/scope.py
+++ b/monsoonpier/balancer/packets/context.py
@@ -8,12 +8,12 @@
 
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.membership import ALONE_SECONDS, Membership
-from monsoonpier.balancer.packets.caller_waits import WaitStatistics
-from monsoonpier.balancer.packets.first_asked import FirstAttempts
+from monsoonpier.balancer.packets.first_attempts import FirstAttempts
 from monsoonpier.balancer.packets.flows import FlowEntry, FlowTable
 from monsoonpier.balancer.packets.returning import ReturningCallers
-from monsoonpier.balancer.packets.runs import TargetInstances
 from monsoonpier.balancer.packets.shares import EarlierServices, choose_service
+from monsoonpier.balancer.packets.target_instances import TargetInstances
+from monsoonpier.balancer.packets.wait_statistics import WaitStatistics
 from monsoonpier.model.address import Address
 from monsoonpier.model.service import PacketRoute
 from monsoonpier.model.target import ABSENT_SECONDS, Condition, TargetRecord
@@ -22,8 +22,8 @@
 from monsoonpier.wire.frames import (
     MAX_PRIORITY,
     MAX_TRIED,
-    Carry,
-    Reserve,
+    ForwardPacket,
+    ReserveSlot,
     to_milliseconds,
 )
 from monsoonpier.wire.packet import Packet
@@ -165,7 +165,7 @@
 
     def is_converged(self, *, now: float) -> bool:
         """Return whether all reachable targets are likely to be known."""
-        return self.membership.is_settled(now=now)
+        return self.membership.is_converged(now=now)
 
     def knows_all_owners_of(self, services: Collection[str], *, now: float) -> bool:
         """Return whether no unknown target can own a flow of these services."""
@@ -236,7 +236,7 @@
         record = self.membership.table.record(name)
         if record is not None and record.condition is not Condition.STARTING:
             return False
-        known_for = self.membership.table.known_for(name, now=now)
+        known_for = self.membership.table.record_age(name, now=now)
         is_long_absent = record is not None and record.is_absent
         is_long_absent &= known_for >= ABSENT_SECONDS
         return is_long_absent or self.instances.is_absent(name, now=now)
@@ -260,7 +260,7 @@
     def _had_time_to_report(self, name: str, *, now: float) -> bool:
         """Return whether an agent would have reported its target by now."""
         record = self.membership.table.record(name)
-        known_for = self.membership.table.known_for(name, now=now)
+        known_for = self.membership.table.record_age(name, now=now)
         return known_for >= TARGET_DISCOVERY_SECONDS or (
             record is not None and record.is_absent
         )
@@ -276,7 +276,7 @@
         entry: FlowEntry,
         *,
         names: Iterable[str],
-        asks: bool = False,
+        wants_reply: bool = False,
     ) -> list[ToAgent]:
         """Return the frames that forward a packet to these targets.
 
@@ -284,17 +284,17 @@
             packet: The caller's packet.
             entry: The flow's entry in the flow table.
             names: Names of the targets.
-            asks: Whether the agents must answer if they don't own the flow.
+            wants_reply: Whether the agents must answer if they don't own the flow.
         """
         tried = entry.tried[-MAX_TRIED:] if packet.is_syn else ()
         return [
             ToAgent(
                 endpoint=(record.ip, record.port),
-                frame=Carry(
+                frame=ForwardPacket(
                     service=self._service_at(record, packet, entry),
                     payload=packet.raw,
                     tried=tried,
-                    asks=asks,
+                    wants_reply=wants_reply,
                 ),
                 flow=packet.flow,
             )
@@ -329,7 +329,7 @@
         is_offered: bool = False,
     ) -> list[ToAgent]:
         """Return the frame that forwards a SYN to a target, with its wait limits."""
-        frame = Carry(
+        frame = ForwardPacket(
             service=entry.service,
             payload=packet.raw,
             tried=entry.tried[-MAX_TRIED:],
@@ -344,7 +344,7 @@
         self, waiting: WaitingFlow, *, service: str, names: Iterable[str], now: float
     ) -> list[ToAgent]:
         """Return the frames that reserve slots for a queued flow."""
-        frame = Reserve(
+        frame = ReserveSlot(
             service=service,
             flow=waiting.flow,
             in_time_ms=to_milliseconds(waiting.in_time_until - now),
--- a/monsoonpier/balancer/packets/first_asked.py
+++ b/monsoonpier/balancer/packets/first_attempts.py
@@ -15,10 +15,10 @@
 from monsoonpier.model.address import Address
 from monsoonpier.model.rendezvous import top
 from monsoonpier.wire.frames import (
+    AttemptRejected,
     BalancerRecord,
-    FirstAsked,
-    Refused,
-    WhenAsked,
+    FirstAttemptQuery,
+    FirstAttemptReply,
     to_milliseconds,
 )
 from monsoonpier.wire.packet import Packet
@@ -52,12 +52,12 @@
                 packet.caller_ip, packet.service_address, earlier, back_at=back_at
             )
             return []
-        frame = Refused(
+        frame = AttemptRejected(
             caller=packet.caller_ip,
             service=_endpoint(packet.service_address),
-            asked_ms=to_milliseconds(now - earlier.asked_at),
+            first_attempt_age_ms=to_milliseconds(now - earlier.first_attempt_at),
             tries=earlier.attempts,
-            back_ms=to_milliseconds(back_at - now),
+            next_attempt_ms=to_milliseconds(back_at - now),
         )
         return [ToAgent(endpoint=balancer.endpoint, frame=frame)]
 
@@ -69,36 +69,39 @@
         balancer = self._directory_balancer(packet)
         if balancer is None:
             return []
-        frame = WhenAsked(
+        frame = FirstAttemptQuery(
             flow=packet.flow,
             caller=packet.caller_ip,
             service=_endpoint(packet.service_address),
-            waited_ms=to_milliseconds(packet.waited),
+            syn_age_ms=to_milliseconds(packet.waited),
         )
         return [ToAgent(endpoint=balancer.endpoint, frame=frame)]
 
-    def store_rejection(self, frame: Refused, *, now: float) -> None:
+    def store_rejection(self, frame: AttemptRejected, *, now: float) -> None:
         """Store another balancer's report of a rejected caller."""
         self._returning.record(
             frame.caller,
             _address(frame.service),
-            EarlierAttempt(asked_at=now - frame.asked_ms / 1000, attempts=frame.tries),
-            back_at=now + frame.back_ms / 1000,
+            EarlierAttempt(
+                first_attempt_at=now - frame.first_attempt_age_ms / 1000,
+                attempts=frame.tries,
+            ),
+            back_at=now + frame.next_attempt_ms / 1000,
         )
 
     def reply(
-        self, frame: WhenAsked, *, sender: tuple[str, int], now: float
+        self, frame: FirstAttemptQuery, *, sender: tuple[str, int], now: float
     ) -> list[ToAgent]:
         """Return the reply to a query; none if the caller has no record here."""
-        came_at = now - frame.waited_ms / 1000
+        came_at = now - frame.syn_age_ms / 1000
         earlier = self._returning.claim(
             frame.caller, _address(frame.service), came_at=came_at, now=now
         )
         if earlier is None:
             return []
-        reply = FirstAsked(
+        reply = FirstAttemptReply(
             flow=frame.flow,
-            asked_ms=to_milliseconds(now - earlier.asked_at),
+            first_attempt_age_ms=to_milliseconds(now - earlier.first_attempt_at),
             tries=earlier.attempts,
         )
         return [ToAgent(endpoint=sender, frame=reply)]
--- a/monsoonpier/balancer/packets/openings.py
+++ b/monsoonpier/balancer/packets/new_flows.py
@@ -3,34 +3,34 @@
 import random
 from collections import deque
 
+from monsoonpier.balancer.packets.backlog import (
+    FlowBacklog,
+    QueueRejection,
+    is_in_time,
+    wait_expires_at,
+)
+from monsoonpier.balancer.packets.context import SteeringContext
 from monsoonpier.balancer.packets.flows import FlowEntry, FlowStatistics
 from monsoonpier.balancer.packets.placement import (
     PlacementQuery,
     has_room,
     median_service_seconds,
     place,
-    reliable,
-)
-from monsoonpier.balancer.packets.queueing import (
-    FlowBacklog,
-    QueueRejection,
-    is_in_time,
-    wait_expires_at,
+    without_failing,
 )
 from monsoonpier.balancer.packets.returning import EarlierAttempt
-from monsoonpier.balancer.packets.scope import SteeringContext
-from monsoonpier.balancer.steering import Candidate, Chosen, NoTarget
+from monsoonpier.balancer.target_choice import Candidate, Chosen, NoTarget
 from monsoonpier.model.address import Address
 from monsoonpier.model.service import PacketRoute
 from monsoonpier.model.waiting import WaitingFlow
-from monsoonpier.process.readings import Histogram
+from monsoonpier.process.metrics import Histogram
 from monsoonpier.wire.frames import (
     MAX_TRIED,
-    FirstAsked,
-    Held,
-    Offer,
-    Queued,
-    Turned,
+    FirstAttemptReply,
+    FlowOwned,
+    OfferSlot,
+    SynQueued,
+    SynRejected,
 )
 from monsoonpier.wire.packet import Packet
 
@@ -122,16 +122,16 @@
             latest_syn_offset=packet.waited,
             syn=packet,
         )
-        earlier = self._context.returning_callers.earlier(packet, now=now)
+        earlier = self._context.returning_callers.find_earlier(packet, now=now)
         if earlier is not None:
             entry.link_earlier_attempt(earlier)
         self._context.flows.put(packet.flow, entry)
         self._context.wait_statistics.count_requested(entry.service, route)
         return self._place(packet, entry, now=now, draw=draw)
 
-    def on_accepted(self, frame: Held, *, now: float) -> None:
+    def on_accepted(self, frame: FlowOwned, *, now: float) -> None:
         """Record that a target has answered a SYN."""
-        self._context.membership.table.answered_flow(frame.agent)
+        self._context.membership.table.record_flow_answered(frame.agent)
         entry = self._context.flows.get(frame.flow)
         if entry is None:
             return
@@ -139,11 +139,11 @@
         if frame.agent not in entry.owners:
             entry.owners = (*entry.owners, frame.agent)[-MAX_TRIED:]
 
-    def on_queued(self, frame: Queued, *, now: float) -> list:
+    def on_queued(self, frame: SynQueued, *, now: float) -> list:
         """Record that an agent has queued a SYN for a slot."""
         table = self._context.membership.table
-        table.heard(frame.agent, frame.load, now=now)
-        table.answered_flow(frame.agent)
+        table.record_load(frame.agent, frame.load, now=now)
+        table.record_flow_answered(frame.agent)
         self._context.counts_by_result["queued"] += 1
         entry = self._context.flows.get(frame.flow)
         if entry is None or entry.syn is None or entry.owners[-1:] != (frame.agent,):
@@ -154,12 +154,12 @@
         return []
 
     def on_rejected(
-        self, frame: Turned, packet: Packet, *, now: float, draw: random.Random
+        self, frame: SynRejected, packet: Packet, *, now: float, draw: random.Random
     ) -> list:
         """Place or queue a SYN again that an agent has rejected."""
         table = self._context.membership.table
-        table.heard(frame.agent, frame.load, now=now)
-        table.answered_flow(frame.agent)
+        table.record_load(frame.agent, frame.load, now=now)
+        table.record_flow_answered(frame.agent)
         self._context.counts_by_result["turned"] += 1
         self._context.log.note(
             "flow rejected by agent",
@@ -179,9 +179,9 @@
             return []
         return self._place(packet, entry, now=now, draw=draw)
 
-    def on_offer(self, frame: Offer, *, now: float) -> list:
+    def on_offer(self, frame: OfferSlot, *, now: float) -> list:
         """Send the first queued flow to an agent that offers a slot."""
-        self._context.membership.table.heard(frame.agent, frame.load, now=now)
+        self._context.membership.table.record_load(frame.agent, frame.load, now=now)
         actions: list = []
         while (claimed := self._backlog.claim(frame, now=now)) is not None:
             flow, cancellations = claimed
@@ -195,7 +195,7 @@
                 continue
             self._context.counts_by_result["taken_up"] += 1
             table = self._context.membership.table
-            candidates = table.candidates_of(entry.service, now=now)
+            candidates = table.packet_candidates(entry.service, now=now)
             return actions + self._send_syn(
                 entry.syn,
                 entry,
@@ -207,7 +207,7 @@
             )
         return actions + self._backlog.decline(frame)
 
-    def on_first_attempt_reply(self, frame: FirstAsked, *, now: float) -> list:
+    def on_first_attempt_reply(self, frame: FirstAttemptReply, *, now: float) -> list:
         """Apply the first attempt that a caller's directory balancer reports."""
         return self._backlog.apply_first_attempt(frame, now=now)
 
@@ -222,7 +222,7 @@
     ) -> list:
         """Send a SYN to the best target, or queue it if none has room."""
         table = self._context.membership.table
-        candidates = reliable(table.candidates_of(entry.service, now=now))
+        candidates = without_failing(table.packet_candidates(entry.service, now=now))
         if len(entry.tried) >= MAX_PLACEMENTS:
             return self._enqueue(packet, entry, candidates, now=now, draw=draw)
         route = self._context.route(packet)
@@ -260,7 +260,7 @@
         entry.owners = (*entry.owners, name)[-MAX_TRIED:]
         entry.tried = (*entry.tried, name)
         entry.syn_sent_at = now
-        self._context.membership.table.sent_flow(name, now=now)
+        self._context.membership.table.record_flow_sent(name, now=now)
         self._unanswered.append((now + HEDGE_SECONDS, packet.flow))
         self._hedges_left = min(MAX_HEDGES, self._hedges_left + HEDGE_SHARE)
         self._context.counts_by_result["placed"] += 1
@@ -320,7 +320,7 @@
         self._count_rejected(packet, entry, reason, now=now)
         back_at = entry.created_at + GIVE_UP_SECONDS if packet.waited else now
         earlier = EarlierAttempt(
-            asked_at=entry.first_attempt_at, attempts=entry.attempts
+            first_attempt_at=entry.first_attempt_at, attempts=entry.attempts
         )
         notices = self._context.first_attempts.note_rejection(
             packet, earlier, back_at=back_at, now=now
@@ -361,8 +361,10 @@
         """Place the queued flows of one service while targets have room."""
         actions: list = []
         for _ in range(self._backlog.waiting(service)):
-            candidates = self._context.membership.table.candidates_of(service, now=now)
-            usable = [c for c in reliable(candidates) if not c.suspected]
+            candidates = self._context.membership.table.packet_candidates(
+                service, now=now
+            )
+            usable = [c for c in without_failing(candidates) if not c.suspected]
             in_time = self._backlog.update_late(
                 service, now=now, run_seconds=median_service_seconds(usable)
             )
@@ -400,7 +402,7 @@
                 target=entry.owners[-1],
                 waited_seconds=round(now - entry.syn_sent_at, 3),
             )
-            self._context.membership.table.not_answered(entry.owners[-1])
+            self._context.membership.table.record_flow_unanswered(entry.owners[-1])
             if self._hedges_left < 1:
                 continue
             self._hedges_left -= 1
--- a/monsoonpier/balancer/packets/inquiries.py
+++ b/monsoonpier/balancer/packets/owner_resolver.py
@@ -4,17 +4,17 @@
 from collections import deque
 
 from monsoonpier.balancer.actions import ToAgent
+from monsoonpier.balancer.packets.context import ServiceAgents, SteeringContext
 from monsoonpier.balancer.packets.directory import OwnerDirectory
 from monsoonpier.balancer.packets.flows import FlowEntry, OwnerLookup
-from monsoonpier.balancer.packets.questions import OwnerQueries
-from monsoonpier.balancer.packets.scope import ServiceAgents, SteeringContext
-from monsoonpier.balancer.packets.tries import OwnerProbes
+from monsoonpier.balancer.packets.owner_probes import OwnerProbes
+from monsoonpier.balancer.packets.owner_queries import OwnerQueries
 from monsoonpier.wire.frames import (
-    Find,
-    Found,
-    Holds,
-    NotHeld,
-    Register,
+    DirectoryQuery,
+    DirectoryReply,
+    DirectoryUpdate,
+    FlowNotOwned,
+    OwnershipReply,
 )
 from monsoonpier.wire.packet import Packet
 
@@ -163,30 +163,30 @@
     ) -> list | None:
         """Handle a frame of the directory; ``None`` if it is another."""
         match frame:
-            case Register():
+            case DirectoryUpdate():
                 self._directory.store(frame)
                 return []
-            case Find():
+            case DirectoryQuery():
                 reply = self._directory.reply(frame)
                 return [ToAgent(endpoint=sender, frame=reply)]
-            case Found():
+            case DirectoryReply():
                 return self._on_directory_reply(frame, now=now)
         return None
 
-    def _on_directory_reply(self, frame: Found, *, now: float) -> list:
+    def _on_directory_reply(self, frame: DirectoryReply, *, now: float) -> list:
         """Forward to the reported owner, or query the agents if none is known."""
         entry = self._context.flows.get(frame.flow)
         if entry is None or entry.lookup is None:
             return []
         lookup = entry.lookup
         lookup.pending_replies -= 1
-        is_possible_owner = self._context.is_possible_owner(frame.holder)
-        if is_possible_owner and frame.holder not in lookup.denied:
+        is_possible_owner = self._context.is_possible_owner(frame.owner)
+        if is_possible_owner and frame.owner not in lookup.denied:
             self._context.counts_by_result["found"] += 1
             self._context.log.note(
-                "owner found", now=now, flow=frame.flow, target=frame.holder
+                "owner found", now=now, flow=frame.flow, target=frame.owner
             )
-            entry.owners = (frame.holder,)
+            entry.owners = (frame.owner,)
             return self.finish_lookup(entry)
         if lookup.pending_replies > 0 or lookup.has_queried_agents:
             return []
@@ -207,7 +207,7 @@
 
     # Replies of agents
 
-    def on_agent_reply(self, frame: Holds, *, now: float) -> list:
+    def on_agent_reply(self, frame: OwnershipReply, *, now: float) -> list:
         """Handle an agent's reply to a query about many flows."""
         actions: list = []
         age_seconds = None if frame.run_ms is None else frame.run_ms / 1000
@@ -230,7 +230,7 @@
                 entry.owners = (frame.agent,)
                 self.note_owner(flow, frame.agent, now=now)
                 actions += self.finish_lookup(entry)
-            elif frame.is_sure:
+            elif frame.is_conclusive:
                 actions += self._record_denial(
                     entry, flow, frame.agent, agents, now=now
                 )
@@ -293,7 +293,9 @@
         lookup.denied.add(agent)
         return self._evaluate(entry, agents, now=now)
 
-    def on_denial(self, frame: NotHeld, packet: Packet | None, *, now: float) -> list:
+    def on_denial(
+        self, frame: FlowNotOwned, packet: Packet | None, *, now: float
+    ) -> list:
         """Handle an agent's reply that its target doesn't own a flow."""
         entry = self._context.flows.get(frame.flow)
         if entry is None:
@@ -339,8 +341,8 @@
         packet = lookup.packets[-1]
         self._context.flows.drop(packet.flow)
         reason = "nobody holds the flow"
-        self._context.returning_callers.refused(
-            packet, asked_at=lookup.started_at, now=now
+        self._context.returning_callers.record_reset(
+            packet, first_attempt_at=lookup.started_at, now=now
         )
         return [self._context.reset_caller(packet, reason, now=now)]
 
--- a/monsoonpier/balancer/packets/process.py
+++ b/monsoonpier/balancer/packets/process.py
@@ -7,24 +7,24 @@
 import structlog
 
 from monsoonpier.balancer.actions import ToAgent
-from monsoonpier.balancer.member import Member, balancer_record
 from monsoonpier.balancer.membership import Membership
-from monsoonpier.balancer.packets.scope import ResetCaller
+from monsoonpier.balancer.node import BalancerNode, balancer_record
+from monsoonpier.balancer.packets.context import ResetCaller
 from monsoonpier.balancer.packets.steering import PacketSteering
-from monsoonpier.balancer.packets.wait_readings import wait_metrics
+from monsoonpier.balancer.packets.wait_metrics import wait_metrics
 from monsoonpier.balancer.stored_configuration import ConfigurationFormat
 from monsoonpier.link.schedule import Urgency
 from monsoonpier.link.sender import LinkSender
 from monsoonpier.model.address import Address
 from monsoonpier.model.settings import Settings
-from monsoonpier.process.life import ProcessLife, run_until_left
+from monsoonpier.process.lifecycle import ProcessLifecycle, run_until_shutdown
 from monsoonpier.process.logs import DecisionLog
-from monsoonpier.process.readings import counter, gauge
+from monsoonpier.process.metrics import counter, gauge
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.process.web import WebServer
 from monsoonpier.store.interface import Store
 from monsoonpier.wire.codec import Dropped
-from monsoonpier.wire.frames import Carry, NotHeld, Turned
+from monsoonpier.wire.frames import FlowNotOwned, ForwardPacket, SynRejected
 from monsoonpier.wire.packet import Packet, PacketCodec
 
 __all__ = ["PacketBalancerProcess"]
@@ -62,7 +62,7 @@
         self._codec = codec
         self._store = store
         self._draw = random.Random()
-        self._life = ProcessLife()
+        self._life = ProcessLifecycle()
         self._started = time.monotonic()
         self._membership = Membership(
             own=balancer_record(settings), started_at=self._started
@@ -74,7 +74,7 @@
             reserves=settings.reserve_slots,
         )
         self._sender = LinkSender(bits_per_second=settings.link_bits_per_second)
-        self._member = Member(
+        self._member = BalancerNode(
             settings=settings,
             membership=self._membership,
             life=self._life,
@@ -116,7 +116,7 @@
         await self._web.start()
         self._life.install_signals()
         _log.info("started", packets=str(self._packets))
-        await run_until_left(self._leave_and_finish, self._member.jobs)
+        await run_until_shutdown(self._leave_and_finish, self._member.jobs)
         await self._web.stop()
         self._socket.close()
         await self._member.stop()
@@ -124,7 +124,7 @@
 
     async def _leave_and_finish(self) -> None:
         """Leave the membership, and wait until packets have stopped arriving."""
-        await self._life.wait_for_leaving()
+        await self._life.wait_for_shutdown()
         began = _now()
         # A task, so that an unresponsive store doesn't delay callers' packets.
         leaving = asyncio.create_task(self._member.leave())
@@ -157,7 +157,7 @@
     def _take_frame(self, frame, sender: tuple[str, int]) -> None:
         """Handle a frame of an agent or balancer."""
         packet: Packet | None = None
-        if isinstance(frame, NotHeld | Turned) and frame.payload:
+        if isinstance(frame, FlowNotOwned | SynRejected) and frame.payload:
             decoded = self._codec.decode(frame.payload, from_target=False)
             if isinstance(decoded, Dropped):
                 self._drop(decoded.reason)
@@ -176,7 +176,7 @@
         for action in actions:
             match action:
                 case ToAgent(endpoint=endpoint, frame=frame, flow=flow):
-                    is_control = not isinstance(frame, Carry)
+                    is_control = not isinstance(frame, ForwardPacket)
                     self._member.send(frame, endpoint, is_control=is_control, flow=flow)
                 case ResetCaller(packet=packet):
                     self._send_reset(packet)
@@ -229,13 +229,13 @@
             self._steering.waiting_summaries(now=_now()),
             data_centre=self._settings.data_centre,
         )
-        yield from self._sender.readings
+        yield from self._sender.metrics
         yield self._store.call_seconds
         generation = membership.store_generation
         yield gauge(
             "store_generation", "Last known generation of the store.", generation.number
         )
-        returns = generation.returns_by_source
+        returns = generation.restores_by_source
         yield counter(
             "store_returns", "Restores of the store from a backup.", returns, "source"
         )
--- a/monsoonpier/balancer/packets/reservations.py
+++ b/monsoonpier/balancer/packets/reservations.py
@@ -12,17 +12,17 @@
 from dataclasses import dataclass
 
 from monsoonpier.balancer.actions import ToAgent
+from monsoonpier.balancer.packets.context import SteeringContext
 from monsoonpier.balancer.packets.placement import (
     fast_service_seconds,
-    reliable,
     requests_per_second,
+    without_failing,
 )
-from monsoonpier.balancer.packets.scope import SteeringContext
-from monsoonpier.balancer.packets.waiting import ServiceQueues
-from monsoonpier.balancer.steering import Candidate
+from monsoonpier.balancer.packets.service_queues import ServiceQueues
+from monsoonpier.balancer.target_choice import Candidate
 from monsoonpier.model.target import QUEUE_AHEAD
-from monsoonpier.model.waiting import MARGIN_RUNS, RESERVED_AT
-from monsoonpier.wire.frames import Decline, Offer, Reserve
+from monsoonpier.model.waiting import MARGIN_RUNS, RESERVATIONS_PER_FLOW
+from monsoonpier.wire.frames import DeclineSlot, OfferSlot, ReserveSlot
 
 __all__ = ["SlotReservations"]
 
@@ -65,7 +65,7 @@
         if not self._is_enabled:
             return []
         return self._reserve(
-            flow, service=service, count=RESERVED_AT, now=now, draw=draw
+            flow, service=service, count=RESERVATIONS_PER_FLOW, now=now, draw=draw
         )
 
     def renew(self, *, now: float, draw: random.Random) -> list[ToAgent]:
@@ -117,14 +117,14 @@
         self, flow: bytes, names: tuple[str, ...], *, service: str
     ) -> list[ToAgent]:
         """Return the frames that cancel a flow's reservations at these agents."""
-        frame = Reserve(service=service, flow=flow, in_time_ms=0, wait_ms=0)
+        frame = ReserveSlot(service=service, flow=flow, in_time_ms=0, wait_ms=0)
         return self._context.to_agents(frame, names=names)
 
     def forget(self, flow: bytes) -> None:
         """Drop a flow that is no longer queued; offers for it go to other flows."""
         self._reserved_by_flow.pop(flow, None)
 
-    def claim(self, offer: Offer, *, now: float) -> bytes | None:
+    def claim(self, offer: OfferSlot, *, now: float) -> bytes | None:
         """Remove from the queue and return the flow that fits an offered slot best.
 
         Returns ``None`` if no flow may take the slot.
@@ -151,14 +151,14 @@
             answered_at=now + service_times * offer.load.service_ms / 1000,
         )
 
-    def decline(self, offer: Offer) -> list[ToAgent]:
+    def decline(self, offer: OfferSlot) -> list[ToAgent]:
         """Return the frames that decline an offer for which no flow is left."""
         record = self._context.membership.table.record(offer.agent)
         if record is None:
             return []
         self._context.counts_by_result["declined"] += 1
         return self._context.to_agents(
-            Decline(service=record.service), names=(offer.agent,)
+            DeclineSlot(service=record.service), names=(offer.agent,)
         )
 
     def _reserve(
@@ -191,7 +191,9 @@
 
     def _candidates(self, service: str, *, now: float) -> list[Candidate]:
         """Return the targets of a service, without failing ones."""
-        return reliable(self._context.membership.table.candidates_of(service, now=now))
+        return without_failing(
+            self._context.membership.table.packet_candidates(service, now=now)
+        )
 
 
 def _sample(
--- a/monsoonpier/balancer/table.py
+++ b/monsoonpier/balancer/table.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from monsoonpier.balancer.steering import Candidate
+from monsoonpier.balancer.target_choice import Candidate
 from monsoonpier.model.service import Service
 from monsoonpier.model.target import Condition, LoadReport, TargetRecord
 from monsoonpier.wire.frames import SilenceReport
@@ -128,7 +128,7 @@
             self.learn(entry.record.with_condition(Condition.GONE), now=now)
             self._names_by_endpoint[endpoint] = record.name
 
-    def heard(self, name: str, load: LoadReport, *, now: float) -> None:
+    def record_load(self, name: str, load: LoadReport, *, now: float) -> None:
         """Record a load report received directly from the target's agent."""
         entry = self._entries_by_name.get(name)
         if entry is None:
@@ -141,27 +141,27 @@
 
     def record_heartbeat(self, name: str, load: LoadReport, *, now: float) -> None:
         """Record a heartbeat, which makes this balancer an observer of the target."""
-        self.heard(name, load, now=now)
+        self.record_load(name, load, now=now)
         entry = self._entries_by_name.get(name)
         if entry is not None:
             entry.is_observed = True
             # Otherwise an OPEN whose answer was lost would count forever.
             entry.sent_since = 0
 
-    def sent_flow(self, name: str, *, now: float) -> None:
+    def record_flow_sent(self, name: str, *, now: float) -> None:
         """Count a new flow that was sent to a target and is not yet answered."""
         entry = self._entries_by_name.get(name)
         if entry is not None:
             entry.sent_since += 1
             entry.sent_at = now
 
-    def answered_flow(self, name: str) -> None:
+    def record_flow_answered(self, name: str) -> None:
         """Record that one more of the flows sent is included in the reports."""
         entry = self._entries_by_name.get(name)
         if entry is not None and entry.sent_since:
             entry.sent_since -= 1
 
-    def not_answered(self, name: str) -> None:
+    def record_flow_unanswered(self, name: str) -> None:
         """Record that a new flow sent to a target got no answer in time."""
         entry = self._entries_by_name.get(name)
         if entry is not None:
@@ -232,7 +232,7 @@
             if service.allows(name) and not self._is_evacuated(name)
         ]
 
-    def candidates_of(self, service: str, *, now: float) -> list[Candidate]:
+    def packet_candidates(self, service: str, *, now: float) -> list[Candidate]:
         """Return the targets of a service whose flows carry no token.
 
         Outdated counts in their loads are reset first.
@@ -279,7 +279,7 @@
         if now - entry.load_received_at > FAILED_STALE_SECONDS:
             entry.load = msgspec.structs.replace(entry.load, failed_percent=0)
 
-    def known_for(self, name: str, *, now: float) -> float:
+    def record_age(self, name: str, *, now: float) -> float:
         """Return seconds since the current record of a target was learned."""
         entry = self._entries_by_name.get(name)
         return now - entry.learned_at if entry is not None else 0.0
--- a/monsoonpier/balancer/tokens/process.py
+++ b/monsoonpier/balancer/tokens/process.py
@@ -9,13 +9,13 @@
 import structlog
 
 from monsoonpier.balancer.actions import ToAgent, ToCaller
-from monsoonpier.balancer.member import Member, balancer_record
+from monsoonpier.balancer.node import BalancerNode, balancer_record
 from monsoonpier.balancer.tokens.decision import Balancer
 from monsoonpier.link.schedule import Urgency
 from monsoonpier.link.sender import LinkSender
 from monsoonpier.model.settings import Settings
-from monsoonpier.process.life import ProcessLife, run_until_left
-from monsoonpier.process.readings import counter, gauge
+from monsoonpier.process.lifecycle import ProcessLifecycle, run_until_shutdown
+from monsoonpier.process.metrics import counter, gauge
 from monsoonpier.process.udp import UdpSocket, open_udp
 from monsoonpier.process.web import WebServer
 from monsoonpier.store.etcd import EtcdStore
@@ -35,7 +35,7 @@
         assert settings.internal and settings.control and settings.metrics
         self._settings = settings
         self._draw = random.Random()
-        self._life = ProcessLife()
+        self._life = ProcessLifecycle()
         self._started = time.monotonic()
         self._balancer = Balancer(
             own=balancer_record(settings),
@@ -45,7 +45,7 @@
         self._store = EtcdStore(addresses=settings.platform, draw=self._draw)
         self._rebind = asyncio.Event()
         self._sender = LinkSender(bits_per_second=settings.link_bits_per_second)
-        self._node = Member(
+        self._node = BalancerNode(
             settings=settings,
             membership=self._balancer.membership,
             life=self._life,
@@ -74,11 +74,11 @@
         self._life.install_signals()
         _log.info("started")
         jobs = (*self._node.jobs, self._bind_forever)
-        await run_until_left(self._leave_and_finish, jobs)
+        await run_until_shutdown(self._leave_and_finish, jobs)
         await self._stop()
 
     async def _leave_and_finish(self) -> None:
-        await self._life.wait_for_leaving()
+        await self._life.wait_for_shutdown()
         began = _now()
         await self._node.leave()
         while _now() - began < LEAVE_SECONDS:
@@ -187,7 +187,7 @@
         drops = balancer.dropped_by_reason + Counter(self._node.dropped_by_reason)
         yield counter("dropped_datagrams", "Dropped datagrams.", drops, "reason")
         control = self._node.bytes_by_direction
-        yield from self._sender.readings
+        yield from self._sender.metrics
         yield counter(
             "control_bytes", "Bytes of control traffic.", control, "direction"
         )
--- a/monsoonpier/caller/command.py
+++ b/monsoonpier/caller/command.py
@@ -4,14 +4,14 @@
 from dataclasses import dataclass
 
 from monsoonpier.caller.client import Caller
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 from monsoonpier.model.outcome import Done, NotRun, Outcome, Refused
 
-__all__ = ["Call", "run_call"]
+__all__ = ["CallArguments", "run_call"]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Call:
+class CallArguments:
     """The arguments of ``monsoonpier call``; ``deadline`` is in seconds."""
 
     address: str
@@ -24,13 +24,13 @@
     deadline: float
 
 
-async def run_call(call: Call) -> int:
+async def run_call(call: CallArguments) -> int:
     """Make the call and print the result; return the exit status."""
     try:
         caller = Caller(call.address)
     except ValueError as error:
         print(f"monsoonpier: {error}", file=sys.stderr)
-        return Exit.BAD_INPUT
+        return ExitStatus.BAD_INPUT
     async with caller:
         if call.stream:
             return await _print_stream(caller, call)
@@ -40,14 +40,14 @@
     return _print_outcome(outcome)
 
 
-async def _print_stream(caller: Caller, call: Call) -> int:
+async def _print_stream(caller: Caller, call: CallArguments) -> int:
     count = 0
     async for item in caller.stream(call.kind, after=call.after):
         print(f"{item.number}\t{item.body.decode(errors='replace')}", flush=True)
         count += 1
         if count == call.items:
-            return Exit.OK
-    return Exit.OK
+            return ExitStatus.OK
+    return ExitStatus.OK
 
 
 def _print_outcome(outcome: Outcome) -> int:
@@ -55,13 +55,13 @@
         case Done(status=status, body=body):
             sys.stdout.buffer.write(body)
             sys.stdout.flush()
-            return Exit.OK if status < 400 else Exit.BAD_INPUT
+            return ExitStatus.OK if status < 400 else ExitStatus.BAD_INPUT
         case (
             NotRun(reason=reason, retry_after=wait)
             | Refused(reason=reason, retry_after=wait)
         ):
             print(f"not run: {reason}; retry after {wait:.2f} s", file=sys.stderr)
-            return Exit.NOT_RUN
+            return ExitStatus.NOT_RUN
         case _:
             print(f"may have run: {outcome}", file=sys.stderr)
-            return Exit.MAY_HAVE_RUN
+            return ExitStatus.MAY_HAVE_RUN
--- a/monsoonpier/process/life.py
+++ b/monsoonpier/process/lifecycle.py
@@ -8,14 +8,14 @@
 import structlog
 
 from monsoonpier.charts import load_chart
-from monsoonpier.exits import Exit
+from monsoonpier.exits import ExitStatus
 
-__all__ = ["ProcessLife", "run_until_left"]
+__all__ = ["ProcessLifecycle", "run_until_shutdown"]
 
-_log = structlog.get_logger("monsoonpier.process.life")
+_log = structlog.get_logger("monsoonpier.process.lifecycle")
 
 
-class ProcessLife:
+class ProcessLifecycle:
     """Tracks the state of a process and lets tasks wait for its shutdown."""
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         if self._state in ("leaving", "stopped"):
             self._leaving.set()
 
-    async def wait_for_leaving(self) -> None:
+    async def wait_for_shutdown(self) -> None:
         """Wait until the process should shut down."""
         await self._leaving.wait()
 
@@ -58,14 +58,14 @@
     def _terminate(self) -> None:
         self.step("terminate")
         if self._state == "stopped":
-            os._exit(Exit.INTERRUPTED)
+            os._exit(ExitStatus.INTERRUPTED)
 
 
 def _log_changed_settings() -> None:
     _log.info("settings changed", taken="at the next start")
 
 
-async def run_until_left(
+async def run_until_shutdown(
     leave: Callable[[], Awaitable[None]], jobs: Iterable[Callable[[], Awaitable[None]]]
 ) -> None:
     """Run jobs until ``leave`` returns or a job ends; then cancel the rest.
--- a/monsoonpier/wire/frames.py
+++ b/monsoonpier/wire/frames.py
@@ -19,31 +19,31 @@
 __all__ = [
     "Announce",
     "BalancerRecord",
-    "Bounce",
-    "Carry",
-    "Decline",
-    "Find",
-    "Forward",
-    "Found",
-    "FirstAsked",
+    "OpenReturned",
+    "ForwardPacket",
+    "DeclineSlot",
+    "DirectoryQuery",
+    "ForwardDatagram",
+    "DirectoryReply",
+    "FirstAttemptReply",
     "FrameCodec",
     "Gossip",
     "Heartbeat",
-    "Held",
-    "Holds",
-    "Load",
-    "NotHeld",
-    "Offer",
-    "PassOn",
-    "Queued",
-    "Refused",
-    "Register",
-    "Reserve",
-    "Turned",
-    "WhenAsked",
-    "Whose",
+    "FlowOwned",
+    "OwnershipReply",
+    "LoadUpdate",
+    "FlowNotOwned",
+    "OfferSlot",
+    "RelayPacket",
+    "SynQueued",
+    "AttemptRejected",
+    "DirectoryUpdate",
+    "ReserveSlot",
+    "SynRejected",
+    "FirstAttemptQuery",
+    "OwnershipQuery",
     "HeartbeatAck",
-    "Return",
+    "ReplyDatagram",
     "SilenceReport",
     "to_milliseconds",
 ]
@@ -53,8 +53,8 @@
 MAX_RECORDS = 8  # per gossip datagram
 MAX_SILENCES = 16
 MAX_BALANCERS = 16
-MAX_ASKED = 80  # flows, at 14 bytes each
-MAX_PASSED_ON = 36  # agents, at 20 bytes each beside a packet of 1,231 bytes
+MAX_QUERIED_FLOWS = 80  # flows, at 14 bytes each
+MAX_RELAY_AGENTS = 36  # agents, at 20 bytes each beside a packet of 1,231 bytes
 MAX_MILLISECONDS = 3_600_000  # one hour
 MAX_PRIORITY = 255
 MAX_ENTRIES = 32  # at about 36 bytes each
@@ -81,7 +81,7 @@
     """Base of all frames, which are arrays that begin with the tag."""
 
 
-class Forward(_Frame, tag=1, kw_only=True, gc=False):
+class ForwardDatagram(_Frame, tag=1, kw_only=True, gc=False):
     """Forwards a caller's datagram to an agent.
 
     With an OPEN, ``tried`` names the targets that it has been sent to.
@@ -94,7 +94,7 @@
     tried: Tried = ()
 
 
-class Return(_Frame, tag=2, kw_only=True, gc=False):
+class ReplyDatagram(_Frame, tag=2, kw_only=True, gc=False):
     """Carries an agent's datagram to a caller by way of the balancer.
 
     ``opened`` reports that the agent accepted a new flow.
@@ -109,7 +109,7 @@
     opened: bool = False
 
 
-class Bounce(_Frame, tag=3, kw_only=True, gc=False):
+class OpenReturned(_Frame, tag=3, kw_only=True, gc=False):
     """Returns a rejected OPEN, so that the balancer tries another target."""
 
     service: Name
@@ -156,7 +156,7 @@
     """Acknowledges a `Heartbeat` or an `Announce`.
 
     ``known`` says that the balancer has the agent's current record, ``allowed`` that
-    the configuration allows its target. ``held_epoch`` is the epoch of the
+    the configuration allows its target. ``known_epoch`` is the epoch of the
     balancer's record of the agent: a larger one than the agent's own means that the
     agent's wall clock was set back. ``evacuation`` is the last known order on the
     agent's data centre. ``cold_per_second`` limits the new flows without a token that
@@ -171,7 +171,7 @@
     balancers: Annotated[
         tuple[BalancerRecord, ...], Meta(max_length=MAX_BALANCERS)
     ] = ()
-    held_epoch: int = 0
+    known_epoch: int = 0
     evacuation: Evacuation | None = None
     cold_per_second: Annotated[float, Meta(ge=0)] = 0.0
 
@@ -221,10 +221,10 @@
     store_generation: Annotated[int, Meta(ge=0, le=MAX_GENERATION)] = 0
 
 
-class Carry(_Frame, tag=9, kw_only=True, gc=False):
+class ForwardPacket(_Frame, tag=9, kw_only=True, gc=False):
     """Forwards a packet of a flow without a token to an agent.
 
-    ``asks`` requests a reply in any case, since the balancer doesn't know
+    ``wants_reply`` requests a reply in any case, since the balancer doesn't know
     whether this agent owns the flow. ``reply_to`` is the balancer's address if
     the frame was relayed by another agent.
 
@@ -237,7 +237,7 @@
     service: Name
     payload: Payload
     tried: Tried = ()
-    asks: bool = False
+    wants_reply: bool = False
     reply_to: Endpoint | None = None
     in_time_ms: Milliseconds = 0
     wait_ms: Milliseconds = 0
@@ -245,7 +245,7 @@
     is_offered: bool = False
 
 
-class Held(_Frame, tag=10, kw_only=True, gc=False):
+class FlowOwned(_Frame, tag=10, kw_only=True, gc=False):
     """Reports that an agent's target owns a flow.
 
     ``is_open`` is false until the handshake is complete.
@@ -257,7 +257,7 @@
     is_open: bool
 
 
-class NotHeld(_Frame, tag=11, kw_only=True, gc=False):
+class FlowNotOwned(_Frame, tag=11, kw_only=True, gc=False):
     """Reports that an agent's target doesn't own a flow.
 
     ``payload`` returns the packet, unless the balancer requested a reply: then it
@@ -269,7 +269,7 @@
     payload: Payload = b""
 
 
-class Turned(_Frame, tag=12, kw_only=True, gc=False):
+class SynRejected(_Frame, tag=12, kw_only=True, gc=False):
     """Returns a SYN that an agent or its target rejected, for another target."""
 
     agent: Name
@@ -279,7 +279,7 @@
     load: LoadReport
 
 
-class Queued(_Frame, tag=20, kw_only=True, gc=False):
+class SynQueued(_Frame, tag=20, kw_only=True, gc=False):
     """Reports that a SYN waits at an agent for a slot of its target."""
 
     flow: FlowAddress
@@ -287,7 +287,7 @@
     load: LoadReport
 
 
-class Reserve(_Frame, tag=21, kw_only=True, gc=False):
+class ReserveSlot(_Frame, tag=21, kw_only=True, gc=False):
     """Requests a slot for a flow whose SYN waits at the balancer.
 
     The balancer may request slots of several agents and use the first one offered.
@@ -302,7 +302,7 @@
     priority: Annotated[int, Meta(ge=0, le=MAX_PRIORITY)] = 0
 
 
-class Offer(_Frame, tag=22, kw_only=True, gc=False):
+class OfferSlot(_Frame, tag=22, kw_only=True, gc=False):
     """Offers a slot, for a short time, to a balancer that has requested one.
 
     ``is_late_turn`` asks for a flow that can't meet its latency target any more, the
@@ -314,13 +314,13 @@
     is_late_turn: bool = False
 
 
-class Decline(_Frame, tag=23, kw_only=True, gc=False):
+class DeclineSlot(_Frame, tag=23, kw_only=True, gc=False):
     """Declines a slot offer: the balancer has no waiting flow left."""
 
     service: Name
 
 
-class Load(_Frame, tag=13, kw_only=True, gc=False):
+class LoadUpdate(_Frame, tag=13, kw_only=True, gc=False):
     """Reports a changed load to the balancers that send flows to the agent.
 
     The agent is identified by the sender's address, which keeps this frame small:
@@ -330,7 +330,7 @@
     load: LoadReport
 
 
-class Register(_Frame, tag=14, kw_only=True, gc=False):
+class DirectoryUpdate(_Frame, tag=14, kw_only=True, gc=False):
     """Registers flows and their owners at the flows' directory balancers."""
 
     entries: Annotated[
@@ -338,31 +338,31 @@
     ]
 
 
-class Find(_Frame, tag=15, kw_only=True, gc=False):
+class DirectoryQuery(_Frame, tag=15, kw_only=True, gc=False):
     """Asks a flow's directory balancer for the flow's owner."""
 
     flow: FlowAddress
 
 
-class Found(_Frame, tag=16, kw_only=True, gc=False):
-    """Answers with the owner of a flow; ``holder`` is empty if none is known."""
+class DirectoryReply(_Frame, tag=16, kw_only=True, gc=False):
+    """Answers with the owner of a flow; ``owner`` is empty if none is known."""
 
     flow: FlowAddress
-    holder: Annotated[str, Meta(max_length=64)]
+    owner: Annotated[str, Meta(max_length=64)]
 
 
-class Whose(_Frame, tag=17, kw_only=True, gc=False):
+class OwnershipQuery(_Frame, tag=17, kw_only=True, gc=False):
     """Asks an agent which of ``flows`` its target owns."""
 
     question: int
     service: Name
-    flows: Annotated[tuple[FlowAddress, ...], Meta(max_length=MAX_ASKED)]
+    flows: Annotated[tuple[FlowAddress, ...], Meta(max_length=MAX_QUERIED_FLOWS)]
 
 
-class Holds(_Frame, tag=18, kw_only=True, gc=False):
+class OwnershipReply(_Frame, tag=18, kw_only=True, gc=False):
     """Answers which of the flows in a query the agent's target owns.
 
-    ``is_sure`` says that it doesn't own the others; an agent that was started
+    ``is_conclusive`` says that it doesn't own the others; an agent that was started
     beside a running target can't know that. ``run_ms`` is the time since the target
     process started, ``None`` if unknown. ``is_absent`` says that no process has
     listened at the target's address since the agent's start.
@@ -370,13 +370,13 @@
 
     question: int
     agent: Name
-    held: Annotated[tuple[FlowAddress, ...], Meta(max_length=MAX_ASKED)]
-    is_sure: bool
+    held: Annotated[tuple[FlowAddress, ...], Meta(max_length=MAX_QUERIED_FLOWS)]
+    is_conclusive: bool
     run_ms: int | None = None
     is_absent: bool = False
 
 
-class PassOn(_Frame, tag=19, kw_only=True, gc=False):
+class RelayPacket(_Frame, tag=19, kw_only=True, gc=False):
     """Forwards a caller's packet to an agent, which relays it to other agents.
 
     Each agent replies to the balancer that sent this frame.
@@ -384,75 +384,75 @@
 
     service: Name
     payload: Payload
-    endpoints: Annotated[tuple[Endpoint, ...], Meta(max_length=MAX_PASSED_ON)]
+    endpoints: Annotated[tuple[Endpoint, ...], Meta(max_length=MAX_RELAY_AGENTS)]
 
 
-class Refused(_Frame, tag=30, kw_only=True, gc=False):
+class AttemptRejected(_Frame, tag=30, kw_only=True, gc=False):
     """Reports to a caller's directory balancer that an attempt got no slot.
 
     ``tries`` counts the caller's attempts, including this one.
-    ``asked_ms`` is the time since the first of them.
-    ``back_ms`` is the time until the next one is possible, 0 if the caller is
+    ``first_attempt_age_ms`` is the time since the first of them.
+    ``next_attempt_ms`` is the time until the next one is possible, 0 if the caller is
     reset now.
     """
 
     caller: Ip
     service: Endpoint
-    asked_ms: Milliseconds
-    back_ms: Milliseconds = 0
+    first_attempt_age_ms: Milliseconds
+    next_attempt_ms: Milliseconds = 0
     tries: Tries = 1
 
 
-class WhenAsked(_Frame, tag=31, kw_only=True, gc=False):
+class FirstAttemptQuery(_Frame, tag=31, kw_only=True, gc=False):
     """Asks a caller's directory balancer for the time of its first attempt.
 
-    ``waited_ms`` is the time since the first SYN of ``flow`` was sent.
+    ``syn_age_ms`` is the time since the first SYN of ``flow`` was sent.
     """
 
     flow: FlowAddress
     caller: Ip
     service: Endpoint
-    waited_ms: Milliseconds = 0
+    syn_age_ms: Milliseconds = 0
 
 
-class FirstAsked(_Frame, tag=32, kw_only=True, gc=False):
+class FirstAttemptReply(_Frame, tag=32, kw_only=True, gc=False):
     """Answers with the time since a caller's first attempt, if it is known.
 
     ``tries`` counts its attempts before this flow.
     """
 
     flow: FlowAddress
-    asked_ms: Milliseconds
+    first_attempt_age_ms: Milliseconds
     tries: Tries = 1
 
 
 Frame = (
-    Forward
-    | Return
-    | Bounce
+    ForwardDatagram
+    | ReplyDatagram
+    | OpenReturned
     | Heartbeat
     | HeartbeatAck
     | BalancerRecord
     | Announce
     | Gossip
-    | Carry
-    | Held
-    | NotHeld
-    | Turned
-    | Load
-    | Register
-    | Find
-    | Found
-    | Whose
-    | Holds
-    | PassOn
-    | Queued
-    | Reserve
-    | Offer
-    | Decline
-    | Refused
-    | WhenAsked
-    | FirstAsked
+    | ForwardPacket
+    | FlowOwned
+    | FlowNotOwned
+    | SynRejected
+    | LoadUpdate
+    | DirectoryUpdate
+    | DirectoryQuery
+    | DirectoryReply
+    | OwnershipQuery
+    | OwnershipReply
+    | RelayPacket
+    | SynQueued
+    | ReserveSlot
+    | OfferSlot
+    | DeclineSlot
+    | AttemptRejected
+    | FirstAttemptQuery
+    | FirstAttemptReply
 )
 
 
--- a/tests/caller/test_caller.py
+++ b/tests/caller/test_caller.py
@@ -17,9 +17,9 @@
 from monsoonpier.wire.datagrams import (
     AnswerPart,
     Close,
-    FlowGone,
+    FlowUnknown,
+    GoAway,
     Item,
-    Move,
     Opened,
     Progress,
     RequestPart,
@@ -124,8 +124,8 @@
     def test_foreign_datagrams(self):
         """Datagrams of other flows and of finished requests are dropped."""
         flow = session()
-        receive(flow, Progress(flow=b"g" * 16, request=1, have_below=0))
-        receive(flow, Progress(flow=FLOW, request=9, have_below=0))
+        receive(flow, Progress(flow=b"g" * 16, request=1, received_below=0))
+        receive(flow, Progress(flow=FLOW, request=9, received_below=0))
         flow.receive(b"\x01\xff\xff", now=0.1)
         self.assertEqual(flow.dropped, 3)
 
@@ -152,7 +152,7 @@
         flow = session()
         flow.request("reading", b"x", deadline=1.0, now=0.1)
         flow.open_stream("map", after=4, now=0.1)
-        events = receive(flow, FlowGone(flow=FLOW))
+        events = receive(flow, FlowUnknown(flow=FLOW))
         self.assertIsInstance(events[0].outcome, FlowLost)
         self.assertEqual(
             events[1], StreamEnded(request=2, reason="flow lost", reopen=True)
@@ -183,8 +183,8 @@
     def test_go_away_is_reported_once(self):
         """A repeated GOAWAY causes one event, and the flow takes no new work."""
         flow = session()
-        self.assertEqual(receive(flow, Move(flow=FLOW)), [GoAwayReceived()])
-        self.assertEqual(receive(flow, Move(flow=FLOW)), [])
+        self.assertEqual(receive(flow, GoAway(flow=FLOW)), [GoAwayReceived()])
+        self.assertEqual(receive(flow, GoAway(flow=FLOW)), [])
         self.assertFalse(flow.takes_work)
 
     def test_go_away_right_after_opened(self):
@@ -219,12 +219,12 @@
         resent = 0
         for missing in range(1, 20):
             gap = Progress(
-                flow=FLOW, request=1, have_below=0, missing=tuple(range(missing))
+                flow=FLOW, request=1, received_below=0, missing=tuple(range(missing))
             )
             parts = transfer.handle_progress(gap, acked=1, now=0.005)
             resent += sum(isinstance(part, RequestPart) for part in parts)
         self.assertEqual(resent, 0)
-        gap = Progress(flow=FLOW, request=1, have_below=0, missing=(0, 1))
+        gap = Progress(flow=FLOW, request=1, received_below=0, missing=(0, 1))
         self.assertEqual(len(transfer.handle_progress(gap, acked=1, now=0.1)), 2)
 
     def test_silent_owner(self):
--- a/tests/operator/test_change.py
+++ b/tests/operator/test_change.py
@@ -4,15 +4,20 @@
 import random
 import unittest
 
-from monsoonpier.documents.stored import decode_stored, pack, unpack, unstore
+from monsoonpier.documents.stored import (
+    decode_configuration,
+    decode_stored,
+    pack,
+    unpack,
+)
 from monsoonpier.operator.change import (
     Accepted,
-    Change,
+    ConfigurationChange,
     Conflict,
     Unknown,
-    change,
     read_audit,
     read_stored,
+    store_change,
 )
 from monsoonpier.store.interface import StoreError
 from monsoonpier.store.keys import CONFIGURATION
@@ -25,9 +30,9 @@
 RACES = 50
 
 
-def wanted(who: str, port: int = 7001) -> Change:
+def wanted(who: str, port: int = 7001) -> ConfigurationChange:
     """Return a change by an operator."""
-    return Change(
+    return ConfigurationChange(
         apply_id=f"{who}-{port}",
         who=who,
         at="2026-01-01T20:00:00+00:00",
@@ -42,10 +47,12 @@
         self.platform = FakeStore()
         self.draw = random.Random(1)
 
-    async def apply(self, what: Change, *, base=None, **options):
+    async def apply(self, what: ConfigurationChange, *, base=None, **options):
         """Apply a change based on the stored configuration."""
         base = base or await read_stored(self.platform)
-        return await change(self.platform, what, base=base, draw=self.draw, **options)
+        return await store_change(
+            self.platform, what, base=base, draw=self.draw, **options
+        )
 
     async def test_accepted_with_audit_entry(self):
         """An accepted change is stored with its audit entry."""
@@ -55,7 +62,7 @@
         self.assertEqual((entry.version, entry.who, entry.previous), (1, "ana", 0))
         self.assertTrue(entry.difference[0].startswith("+ maps"))
         value = (await self.platform.read(CONFIGURATION)).values_by_key[CONFIGURATION]
-        self.assertEqual(unstore(value.value).version, 1)
+        self.assertEqual(decode_configuration(value.value).version, 1)
 
     async def test_two_operators(self):
         """The second of two changes is a conflict that names the first."""
@@ -68,7 +75,7 @@
 
     async def test_base_of_a_lost_history(self):
         """A change based on a version that a restore removed is a conflict."""
-        backup = self.platform.store.copy()
+        backup = self.platform.store.backup()
         await self.apply(wanted("ana"))
         base = await read_stored(self.platform)
         self.platform.store.restore(backup)
@@ -139,7 +146,7 @@
         for value in (b"", b"{}", b"[1]", b'{"version": "x"}', b"\x00\xff"):
             with self.subTest(value=value):
                 with self.assertRaises(ValueError):
-                    unstore(value)
+                    decode_configuration(value)
                 with self.assertRaises(ValueError):
                     unpack(value)
 
@@ -148,9 +155,9 @@
         await self.apply(wanted("ana"))
         value = (await self.platform.read(CONFIGURATION)).values_by_key[CONFIGURATION]
         self.assertEqual(unpack(pack(value.value)), value.value)
-        own = unstore(unpack(pack(value.value, service="maps")))
+        own = decode_configuration(unpack(pack(value.value, service="maps")))
         self.assertEqual(list(own.services_by_name), ["maps"])
-        other = unstore(unpack(pack(value.value, service="logs")))
+        other = decode_configuration(unpack(pack(value.value, service="logs")))
         self.assertEqual((other.version, other.services_by_name), (1, {}))
         self.assertEqual(
             decode_stored(unpack(pack(value.value, service="x"))).files, {}
--- a/tests/packets/rig.py
+++ b/tests/packets/rig.py
@@ -4,17 +4,17 @@
 
 import msgspec
 
-from monsoonpier.agent.packets.holder import PacketHolder
+from monsoonpier.agent.packets.owner import PacketFlowOwner
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.membership import Membership
-from monsoonpier.balancer.packets.scope import ResetCaller
+from monsoonpier.balancer.packets.context import ResetCaller
 from monsoonpier.balancer.packets.steering import PacketSteering
 from monsoonpier.model.address import Address
 from monsoonpier.model.service import Configuration, PacketRoute
 from monsoonpier.model.target import Condition, LoadReport, TargetRecord
 from monsoonpier.platform.packets import PlatformPackets
 from monsoonpier.process.logs import DecisionLog
-from monsoonpier.wire.frames import BalancerRecord, Carry, PassOn
+from monsoonpier.wire.frames import BalancerRecord, ForwardPacket, RelayPacket
 from monsoonpier.wire.packet import Packet
 
 LOG = DecisionLog("tests")
@@ -23,7 +23,7 @@
 BALANCER = ("10.1.0.1", 7720)
 OTHER_BALANCER = ("10.1.0.2", 7720)
 TARGET_SEQUENCE = 5_000
-SETTLED = 100.0  # a time at which a balancer that started at 0 has converged
+CONVERGED = 100.0  # a time at which a balancer that started at 0 has converged
 
 
 def packet(
@@ -132,10 +132,10 @@
 
     def report(self, name: str, *, now: float = 0.0, **load) -> None:
         """Record a load report of a target's agent."""
-        entry = self.membership.table.candidates_of("maps", now=now)
+        entry = self.membership.table.packet_candidates("maps", now=now)
         number = max((c.load.number for c in entry if c.record.name == name), default=0)
         fields = {"number": number + 1, "condition": Condition.SERVING} | load
-        self.membership.table.heard(name, LoadReport(**fields), now=now)
+        self.membership.table.record_load(name, LoadReport(**fields), now=now)
 
     @property
     def known_endpoints(self) -> set[tuple[str, int]]:
@@ -146,11 +146,11 @@
         """Return the agents that get a packet, directly or relayed."""
         found = {action.endpoint for action in actions}
         for action in actions:
-            if isinstance(action.frame, PassOn):
+            if isinstance(action.frame, RelayPacket):
                 found |= set(action.frame.endpoints)
         return found
 
-    def caller(self, sent: Packet, *, now: float = SETTLED) -> list:
+    def caller(self, sent: Packet, *, now: float = CONVERGED) -> list:
         """Return the actions for a caller's packet."""
         return self.steering.from_caller(sent, now=now, draw=self.draw)
 
@@ -159,7 +159,7 @@
         frame,
         sent: Packet | None = None,
         *,
-        now: float = SETTLED,
+        now: float = CONVERGED,
         sender: tuple[str, int] = ("10.2.0.2", 7720),
     ) -> list:
         """Return the actions for a frame of another process."""
@@ -189,22 +189,25 @@
     return LoadReport(**{"number": number, "condition": Condition.SERVING} | fields)
 
 
-def holder(*, slots: int = 2, is_first: bool = True) -> PacketHolder:
+def owner(*, slots: int = 2, is_first: bool = True) -> PacketFlowOwner:
     """Return the packet logic of an agent whose target serves."""
-    made = PacketHolder(
+    made = PacketFlowOwner(
         name="maps-1", service="maps", slots=slots, connections=100, log=LOG
     )
-    made.started(b"i-1", is_first=is_first, now=0.0)
+    made.instance_started(b"i-1", is_first=is_first, now=0.0)
     made.condition = Condition.SERVING
     return made
 
 
 def carry(
-    sent: Packet, *, service: str = "maps", tried=("maps-1",), asks: bool = False
-) -> Carry:
+    sent: Packet, *, service: str = "maps", tried=("maps-1",), wants_reply: bool = False
+) -> ForwardPacket:
     """Return the frame in which a balancer forwards a packet."""
-    return Carry(
-        service=service, payload=sent.raw, tried=tried if sent.is_syn else (), asks=asks
+    return ForwardPacket(
+        service=service,
+        payload=sent.raw,
+        tried=tried if sent.is_syn else (),
+        wants_reply=wants_reply,
     )
 
 
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -2,24 +2,27 @@
 
 import unittest
 
-from monsoonpier.agent.packets.expectation import (
+from monsoonpier.agent.packets.expected_packets import (
     MAX_TIMEOUT_SECONDS,
     MIN_TIMEOUT_SECONDS,
     ExpectedPackets,
 )
-from monsoonpier.balancer.packets.returning import RETURN_SECONDS, ReturningCallers
+from monsoonpier.balancer.packets.returning import (
+    RETURN_WINDOW_SECONDS,
+    ReturningCallers,
+)
 from monsoonpier.model.target import Condition
-from monsoonpier.wire.frames import Carry, Queued, Turned
+from monsoonpier.wire.frames import ForwardPacket, SynQueued, SynRejected
 from standins.packets.simulation import Simulation, World
 from tests.packets.rig import (
     BALANCER,
+    CONVERGED,
     OTHER_BALANCER,
-    SETTLED,
     SteeringRig,
     answer,
     frames,
-    holder,
     load,
+    owner,
     packet,
     replace,
     resets,
@@ -28,8 +31,8 @@
 SLOTS = 2
 
 
-def syn_frame(sent, *, in_time_ms: int = 1_000, wait_ms: int = 1_000) -> Carry:
-    return Carry(
+def syn_frame(sent, *, in_time_ms: int = 1_000, wait_ms: int = 1_000) -> ForwardPacket:
+    return ForwardPacket(
         service="maps",
         payload=sent.raw,
         tried=("maps-1",),
@@ -42,22 +45,25 @@
     """A target of two slots, both taken by flows 1 and 2."""
 
     def setUp(self) -> None:
-        self.holder = holder(slots=SLOTS)
+        self.owner = owner(slots=SLOTS)
         for number in (1, 2):
             self.bring(number, now=1.0)
-            self.holder.from_target(answer(number, syn=True), now=1.0)
+            self.owner.from_target(answer(number, syn=True), now=1.0)
             sent = packet(number, size=10)
-            self.holder.from_balancer(
-                Carry(service="maps", payload=sent.raw), sent, sender=BALANCER, now=1.0
+            self.owner.from_balancer(
+                ForwardPacket(service="maps", payload=sent.raw),
+                sent,
+                sender=BALANCER,
+                now=1.0,
             )
 
     def bring(self, number: int, *, now: float, sender=BALANCER, **times) -> list:
         sent = packet(number, syn=True)
         frame = syn_frame(sent, **times)
-        return self.holder.from_balancer(frame, sent, sender=sender, now=now)
+        return self.owner.from_balancer(frame, sent, sender=sender, now=now)
 
     def finish(self, number: int, *, now: float) -> list:
-        return self.holder.from_target(answer(number, size=50), now=now)
+        return self.owner.from_target(answer(number, size=50), now=now)
 
     def delivered(self, actions: list) -> list[bytes]:
         raws = [getattr(action, "raw", b"")[:12] for action in actions]
@@ -70,35 +76,35 @@
     def test_delivered_when_a_slot_comes_free(self) -> None:
         """A queued SYN's balancer is notified, and the next free slot is for it."""
         queued = self.bring(3, now=1.01)
-        self.assertEqual(len(frames(queued, Queued)), 1)
-        self.assertEqual(frames(queued, Queued)[0].load.queued, 1)
+        self.assertEqual(len(frames(queued, SynQueued)), 1)
+        self.assertEqual(frames(queued, SynQueued)[0].load.queued, 1)
         self.assertEqual(self.delivered(self.finish(1, now=1.05)), [packet(3).flow])
 
     def test_evacuated(self) -> None:
         """An agent of an evacuated data centre rejects new flows of any balancer."""
         self.bring(3, now=1.01)
-        self.holder.is_evacuated = True
+        self.owner.is_evacuated = True
         for actions in (
-            self.holder.expire(now=1.02),
+            self.owner.expire(now=1.02),
             self.bring(4, now=1.03, sender=OTHER_BALANCER),
         ):
-            (turned,) = frames(actions, Turned)
+            (turned,) = frames(actions, SynRejected)
             self.assertEqual(turned.reason, "data centre evacuated")
             # The load informs a balancer that hasn't received the order.
             self.assertIs(turned.load.condition, Condition.SHEDDING)
         sent = packet(1, size=10, sequence=2_000)
-        carried = Carry(service="maps", payload=sent.raw)
-        kept = self.holder.from_balancer(carried, sent, sender=BALANCER, now=1.04)
+        carried = ForwardPacket(service="maps", payload=sent.raw)
+        kept = self.owner.from_balancer(carried, sent, sender=BALANCER, now=1.04)
         self.assertEqual([action.raw for action in kept], [sent.raw])
 
     def test_no_longer_evacuated(self) -> None:
         """After the order is revoked, new flows wait and are delivered again."""
-        self.holder.is_evacuated = True
+        self.owner.is_evacuated = True
         self.bring(3, now=1.01)
-        self.holder.is_evacuated = False
+        self.owner.is_evacuated = False
         self.bring(3, now=1.02)
         self.assertEqual(self.delivered(self.finish(1, now=1.05)), [packet(3).flow])
-        self.assertIs(self.holder.load(now=1.06).condition, Condition.SERVING)
+        self.assertIs(self.owner.load(now=1.06).condition, Condition.SERVING)
 
     def test_in_time_before_late_of_any_balancer(self) -> None:
         """A flow that can be answered in time goes first, whoever sent it."""
@@ -111,16 +117,16 @@
         self.bring(3, now=1.01, in_time_ms=0)
         self.bring(4, now=1.01)
         actions = self.bring(5, now=1.02, sender=OTHER_BALANCER)
-        (turned,) = frames(actions, Turned)
+        (turned,) = frames(actions, SynRejected)
         self.assertEqual(turned.payload, packet(3, syn=True).raw)
-        self.assertEqual(len(frames(actions, Queued)), 1)
+        self.assertEqual(len(frames(actions, SynQueued)), 1)
 
     def test_full_of_equals(self) -> None:
         """A SYN that finds the queue full of equals is rejected with the load."""
         self.bring(3, now=1.01)
         self.bring(4, now=1.02)
         actions = self.bring(5, now=1.03)
-        (turned,) = frames(actions, Turned)
+        (turned,) = frames(actions, SynRejected)
         self.assertEqual(turned.payload, packet(5, syn=True).raw)
         self.assertEqual(turned.load.queued, 2)
 
@@ -128,9 +134,9 @@
         """A retransmission takes no second place, and its balancer is notified."""
         self.bring(3, now=1.01)
         actions = self.bring(3, now=1.21)
-        self.assertEqual(len(frames(actions, Queued)), 1)
+        self.assertEqual(len(frames(actions, SynQueued)), 1)
         another = self.bring(4, now=1.22)
-        self.assertEqual(frames(another, Turned), [])
+        self.assertEqual(frames(another, SynRejected), [])
         self.finish(2, now=1.25)
         self.finish(1, now=1.3)
         self.assertEqual(self.delivered(self.finish(2, now=1.31)), [])
@@ -138,21 +144,21 @@
     def test_rejected_before_the_caller_gives_up(self) -> None:
         """A SYN for which no slot came free is rejected when its wait is over."""
         self.bring(3, now=1.01, wait_ms=300)
-        self.assertEqual(self.holder.tick(now=1.2), [])
-        (turned,) = frames(self.holder.tick(now=1.32), Turned)
+        self.assertEqual(self.owner.tick(now=1.2), [])
+        (turned,) = frames(self.owner.tick(now=1.32), SynRejected)
         self.assertEqual(turned.reason, "no slot came free")
 
     def test_leaving_target(self) -> None:
         """A leaving target takes none of the queued SYNs."""
         self.bring(3, now=1.01)
-        self.holder.condition = Condition.LEAVING
+        self.owner.condition = Condition.LEAVING
         actions = self.finish(1, now=1.05)
         self.assertEqual(self.delivered(actions), [])
-        self.assertEqual([t.reason for t in frames(actions, Turned)], ["leaving"])
+        self.assertEqual([t.reason for t in frames(actions, SynRejected)], ["leaving"])
 
     def test_syn_without_wait(self) -> None:
         """A SYN without a time to wait is not queued."""
-        self.assertEqual(len(frames(self.bring(3, now=1.0, wait_ms=0), Turned)), 1)
+        self.assertEqual(len(frames(self.bring(3, now=1.0, wait_ms=0), SynRejected)), 1)
 
 
 class QueuedAtAnAgentTests(unittest.TestCase):
@@ -162,7 +168,7 @@
         self.rig = SteeringRig(targets=2)
         (self.first,) = self.rig.names(self.rig.caller(packet(syn=True)))
         (self.other,) = {"maps-1", "maps-2"} - {self.first}
-        frame = Queued(flow=packet().flow, agent=self.first, load=load(number=9))
+        frame = SynQueued(flow=packet().flow, agent=self.first, load=load(number=9))
         self.rig.agent(frame)
 
     def retry(self, *, now: float) -> list[str]:
@@ -170,20 +176,20 @@
 
     def test_not_sent_elsewhere(self) -> None:
         """While it waits, it and its retransmissions go to no other target."""
-        self.assertEqual(self.retry(now=SETTLED + 0.2), [])
+        self.assertEqual(self.retry(now=CONVERGED + 0.2), [])
         copy = replace(packet(syn=True), waited=0.2)
-        actions = self.rig.caller(copy, now=SETTLED + 0.2)
+        actions = self.rig.caller(copy, now=CONVERGED + 0.2)
         self.assertEqual(self.rig.names(actions), [self.first])
 
     def test_unresponsive_agent(self) -> None:
         """After a timeout, its agent may have ended, so it goes to another target."""
-        self.assertEqual(self.retry(now=SETTLED + 0.1), [])
-        self.assertEqual(self.retry(now=SETTLED + 0.75), [self.other])
+        self.assertEqual(self.retry(now=CONVERGED + 0.1), [])
+        self.assertEqual(self.retry(now=CONVERGED + 0.75), [self.other])
 
     def test_rejected(self) -> None:
         """A SYN that the agent rejects goes to another target at once."""
         sent = packet(syn=True)
-        frame = Turned(
+        frame = SynRejected(
             agent=self.first,
             payload=sent.raw,
             tried=(self.first,),
@@ -199,41 +205,43 @@
     def test_first_attempt_counts(self) -> None:
         """A rejected caller's next flow counts from its first attempt, once."""
         callers = ReturningCallers()
-        callers.refused(packet(1), asked_at=1.0, now=2.0)
-        self.assertEqual(callers.earlier(packet(2, syn=True), now=2.1).asked_at, 1.0)
-        self.assertIsNone(callers.earlier(packet(3, syn=True), now=2.1))
+        callers.record_reset(packet(1), first_attempt_at=1.0, now=2.0)
+        self.assertEqual(
+            callers.find_earlier(packet(2, syn=True), now=2.1).first_attempt_at, 1.0
+        )
+        self.assertIsNone(callers.find_earlier(packet(3, syn=True), now=2.1))
 
     def test_long_ago(self) -> None:
         """A caller that returns much later has a new request."""
         callers = ReturningCallers()
-        callers.refused(packet(1), asked_at=1.0, now=2.0)
-        now = 2.0 + RETURN_SECONDS + 0.1
-        self.assertIsNone(callers.earlier(packet(2, syn=True), now=now))
+        callers.record_reset(packet(1), first_attempt_at=1.0, now=2.0)
+        now = 2.0 + RETURN_WINDOW_SECONDS + 0.1
+        self.assertIsNone(callers.find_earlier(packet(2, syn=True), now=now))
 
     def test_bounded(self) -> None:
         """The callers rejected longest ago are forgotten first."""
         callers = ReturningCallers(most=2)
         for number in range(3):
             sent = replace(packet(number), caller_ip=f"100.64.0.{number}")
-            callers.refused(sent, asked_at=1.0, now=2.0)
+            callers.record_reset(sent, first_attempt_at=1.0, now=2.0)
         first = replace(packet(9, syn=True), caller_ip="100.64.0.0")
-        self.assertIsNone(callers.earlier(first, now=2.0))
+        self.assertIsNone(callers.find_earlier(first, now=2.0))
 
     def test_goes_after_those_in_time(self) -> None:
         """Of two waiting flows, the one that was rejected before is placed last."""
         rig = SteeringRig(targets=1)
         full = {"in_flight": 2, "queued": 1}
-        rig.report("maps-1", now=SETTLED, **full)
-        rig.caller(packet(1, syn=True), now=SETTLED)
-        rig.report("maps-1", now=SETTLED + 1.29, **full)
-        late = rig.steering.retry(now=SETTLED + 1.31, draw=rig.draw)
+        rig.report("maps-1", now=CONVERGED, **full)
+        rig.caller(packet(1, syn=True), now=CONVERGED)
+        rig.report("maps-1", now=CONVERGED + 1.29, **full)
+        late = rig.steering.retry(now=CONVERGED + 1.31, draw=rig.draw)
         self.assertEqual(resets(late), ["no slot came free"])
         again, new = packet(2, syn=True), packet(3, syn=True)
-        rig.caller(again, now=SETTLED + 1.32)
+        rig.caller(again, now=CONVERGED + 1.32)
         other = replace(new, caller_ip="100.64.0.8")
-        rig.caller(other, now=SETTLED + 1.33)
-        rig.report("maps-1", now=SETTLED + 1.34, in_flight=2)
-        actions = rig.steering.retry(now=SETTLED + 1.34, draw=rig.draw)
+        rig.caller(other, now=CONVERGED + 1.33)
+        rig.report("maps-1", now=CONVERGED + 1.34, in_flight=2)
+        actions = rig.steering.retry(now=CONVERGED + 1.34, draw=rig.draw)
         self.assertEqual([a.frame.payload for a in actions], [other.raw])
 
 
@@ -253,7 +261,7 @@
 
     def test_slot_of_a_silent_caller(self) -> None:
         """The slot of a silent caller goes to the next flow before the next tick."""
-        held = holder(slots=1)
+        held = owner(slots=1)
         for number, now in ((1, 1.0), (2, 1.01)):
             sent = packet(number, syn=True)
             frame = syn_frame(sent)
@@ -269,9 +277,9 @@
 class HandshakeTests(unittest.TestCase):
     """SYNs whose handshake passes while the slot is still taken."""
 
-    def _holder(self, *, run: float, handshake: float):
+    def _owner(self, *, run: float, handshake: float):
         """Return an agent's logic with one slot, both times known, during a run."""
-        made = holder(slots=1)
+        made = owner(slots=1)
         now = 1.0
         for number in (1, 2):
             sent = packet(number, syn=True)
@@ -279,7 +287,7 @@
             made.from_target(answer(number, syn=True), now=now)
             now += handshake
             sent = packet(number, size=10)
-            carried = Carry(service="maps", payload=sent.raw)
+            carried = ForwardPacket(service="maps", payload=sent.raw)
             made.from_balancer(carried, sent, sender=BALANCER, now=now)
             if number == 1:
                 now += run
@@ -293,13 +301,13 @@
 
     def test_short_runs(self) -> None:
         """Exactly one SYN is delivered early during a short run."""
-        made, now = self._holder(run=0.016, handshake=0.008)
+        made, now = self._owner(run=0.016, handshake=0.008)
         self.assertTrue(self._delivered(made, 3, now=now + 0.001))
         self.assertFalse(self._delivered(made, 4, now=now + 0.002))
 
     def test_long_runs(self) -> None:
         """Where a handshake is short compared to a run, SYNs wait in the queue."""
-        made, now = self._holder(run=0.2, handshake=0.008)
+        made, now = self._owner(run=0.2, handshake=0.008)
         self.assertFalse(self._delivered(made, 3, now=now + 0.001))
 
     def test_nearly_full(self) -> None:
@@ -315,6 +323,6 @@
             long_share=0.63,
             long_flows=13,
             seconds=6.0,
-            caller_way_seconds=0.003,
+            caller_latency_seconds=0.003,
         )
         self.assertGreater(Simulation(world).run().in_time, 0.98)
--- a/tests/packets/test_cold.py
+++ b/tests/packets/test_cold_start.py
@@ -5,17 +5,17 @@
 
 import msgspec
 
-from monsoonpier.agent.packets.cold import ColdStartLimit
+from monsoonpier.agent.packets.cold_start import ColdStartLimit
 from monsoonpier.model.service import Configuration
 from monsoonpier.platform.configuration import PLATFORM_FORMAT
-from monsoonpier.wire.frames import Announce, Carry, Turned
+from monsoonpier.wire.frames import Announce, ForwardPacket, SynRejected
 from tests.packets.rig import (
     BALANCER,
     OTHER_BALANCER,
     SteeringRig,
     answer,
     frames,
-    holder,
+    owner,
     packet,
     record,
 )
@@ -28,18 +28,18 @@
     """A cold target of 100 slots that may get ten new flows a second."""
 
     def setUp(self) -> None:
-        self.holder = holder(slots=100)
-        self.holder.target_load.cold.per_second = PER_SECOND
-        self.holder.target_load.set_cold_until(1.0 + COLD_SECONDS)
+        self.owner = owner(slots=100)
+        self.owner.target_load.cold.per_second = PER_SECOND
+        self.owner.target_load.set_cold_until(1.0 + COLD_SECONDS)
         self.taken: list[float] = []
         self.number = 0
 
     def bring(self, *, now: float, wait_ms: int = 0) -> list:
         self.number += 1
         sent = packet(self.number, syn=True)
-        frame = Carry(service="maps", payload=sent.raw, wait_ms=wait_ms)
+        frame = ForwardPacket(service="maps", payload=sent.raw, wait_ms=wait_ms)
         sender = (BALANCER, OTHER_BALANCER)[self.number % 2]
-        actions = self.holder.from_balancer(frame, sent, sender=sender, now=now)
+        actions = self.owner.from_balancer(frame, sent, sender=sender, now=now)
         self.note(actions, now=now)
         return actions
 
@@ -70,14 +70,14 @@
             self.bring(now=1.0)
         self.bring(now=1.2, wait_ms=1_000)
         self.assertEqual(len(self.taken), 10)
-        self.note(self.holder.expire(now=2.01), now=2.01)
+        self.note(self.owner.expire(now=2.01), now=2.01)
         self.assertEqual(len(self.taken), 11)
 
     def test_balancers_are_told(self) -> None:
         """A rejected SYN's load report keeps the balancer from sending more."""
         for _ in range(10):
             self.bring(now=1.0)
-        (turned,) = frames(self.bring(now=1.1), Turned)
+        (turned,) = frames(self.bring(now=1.1), SynRejected)
         rig = SteeringRig(targets=1)
         rig.membership.table.learn(record("maps-1", host=1, slots=100), now=1.0)
         self.assertGreater(turned.load.in_flight, 100)
@@ -96,12 +96,12 @@
     def test_open_flows_go_on(self) -> None:
         """Packets of open flows do not count against the limit."""
         self.bring(now=1.0)
-        self.holder.from_target(answer(1, syn=True), now=1.0)
+        self.owner.from_target(answer(1, syn=True), now=1.0)
         for _ in range(9):
             self.bring(now=1.0)
         sent = packet(1, size=10)
-        carried = Carry(service="maps", payload=sent.raw)
-        actions = self.holder.from_balancer(carried, sent, sender=BALANCER, now=1.1)
+        carried = ForwardPacket(service="maps", payload=sent.raw)
+        actions = self.owner.from_balancer(carried, sent, sender=BALANCER, now=1.1)
         self.assertIn(sent.raw, [getattr(action, "raw", b"") for action in actions])
 
 
--- a/tests/packets/test_directory.py
+++ b/tests/packets/test_directory.py
@@ -5,8 +5,15 @@
 from monsoonpier.balancer.actions import ToAgent
 from monsoonpier.balancer.packets.directory import MAX_OWNERS, OwnerDirectory
 from monsoonpier.model.target import Condition
-from monsoonpier.wire.frames import BalancerRecord, Carry, Find, Held, NotHeld, Register
-from tests.packets.rig import SETTLED, SteeringRig, load, packet, record as target
+from monsoonpier.wire.frames import (
+    BalancerRecord,
+    DirectoryQuery,
+    DirectoryUpdate,
+    FlowNotOwned,
+    FlowOwned,
+    ForwardPacket,
+)
+from tests.packets.rig import CONVERGED, SteeringRig, load, packet, record as target
 
 
 def record(number: int, *, data_centre: str = "dc-1") -> BalancerRecord:
@@ -50,7 +57,7 @@
         """Open a flow at ``maps-2`` through one balancer, and register it."""
         rig = self.rigs[endpoint]
         flow = packet(number).flow
-        held = Held(flow=flow, agent="maps-2", load=load(), is_open=True)
+        held = FlowOwned(flow=flow, agent="maps-2", load=load(), is_open=True)
         rig.agent(held, now=now)
         self.run(endpoint, rig.steering.retry(now=now + 1, draw=rig.draw), now=now + 1)
 
@@ -67,9 +74,9 @@
         actions = self.group.run(endpoint, rig.caller(sent, now=now), now=now)
         return rig.names(actions)
 
-    def test_moved_flow_goes_straight_to_its_holder(self) -> None:
+    def test_moved_flow_goes_straight_to_its_owner(self) -> None:
         """A moved flow's packet is sent to its owner's agent only."""
-        self.group.opened(self.first, 1, now=SETTLED)
+        self.group.opened(self.first, 1, now=CONVERGED)
         for endpoint in self.others:
             sent = packet(1, size=10)
             self.assertEqual(self.carried(endpoint, sent, now=200.0), ["maps-2"])
@@ -82,7 +89,7 @@
 
     def test_keepers_that_do_not_answer(self) -> None:
         """The agents are queried after 30 ms if the directory doesn't reply."""
-        self.group.opened(self.first, 1, now=SETTLED)
+        self.group.opened(self.first, 1, now=CONVERGED)
         for endpoint in self.others:
             self.group.cut_off = set(self.group.rigs) - {endpoint}
             rig = self.group.rigs[endpoint]
@@ -94,37 +101,41 @@
 
     def test_packets_wait_for_the_answer(self) -> None:
         """Packets buffered during the query are forwarded once, in order."""
-        self.group.opened(self.first, 1, now=SETTLED)
+        self.group.opened(self.first, 1, now=CONVERGED)
         self.group.cut_off = set(self.group.rigs)
         for endpoint in self.others:
             rig = self.group.rigs[endpoint]
             sent = [packet(1, size=10, sequence=1_000 + n) for n in range(3)]
             questions = rig.caller(sent[0], now=200.0)
-            if not any(isinstance(action.frame, Find) for action in questions):
+            if not any(
+                isinstance(action.frame, DirectoryQuery) for action in questions
+            ):
                 continue
             for later in sent[1:]:
                 self.assertEqual(rig.caller(later, now=200.01), [])
             self.group.cut_off = set()
             actions = self.group.run(endpoint, questions, now=200.02)
-            payloads = [a.frame.payload for a in actions if isinstance(a.frame, Carry)]
+            payloads = [
+                a.frame.payload for a in actions if isinstance(a.frame, ForwardPacket)
+            ]
             self.assertEqual(payloads, [s.raw for s in sent])
             return
         self.fail("all balancers are directory balancers of the flow")
 
     def test_stale_entry(self) -> None:
         """When the registered owner denies the flow, the other agents are queried."""
-        self.group.opened(self.first, 1, now=SETTLED)
+        self.group.opened(self.first, 1, now=CONVERGED)
         rig = self.group.rigs[self.others[0]]
         sent = packet(1, size=10)
         self.carried(self.others[0], sent, now=200.0)
-        denial = NotHeld(agent="maps-2", flow=sent.flow, payload=sent.raw)
+        denial = FlowNotOwned(agent="maps-2", flow=sent.flow, payload=sent.raw)
         self.assertEqual(
             rig.names(rig.agent(denial, sent, now=200.1)), ["maps-1", "maps-3"]
         )
 
-    def test_kept_holder_has_ended(self) -> None:
+    def test_stored_owner_has_ended(self) -> None:
         """The agents are queried if the registered owner has ended."""
-        self.group.opened(self.first, 1, now=SETTLED)
+        self.group.opened(self.first, 1, now=CONVERGED)
         for endpoint in self.others:
             gone = target("maps-2", host=2, epoch=2, condition=Condition.GONE)
             self.group.rigs[endpoint].learn(gone)
@@ -135,11 +146,13 @@
         """A flow that its caller has closed is not registered."""
         rig = self.group.rigs[self.first]
         flow = packet(1).flow
-        held = Held(flow=flow, agent="maps-2", load=load(), is_open=True)
-        rig.agent(held, now=SETTLED)
-        rig.caller(packet(1, fin=True), now=SETTLED + 0.1)
-        actions = rig.steering.retry(now=SETTLED + 1, draw=rig.draw)
-        found = [a for a in actions if isinstance(getattr(a, "frame", None), Register)]
+        held = FlowOwned(flow=flow, agent="maps-2", load=load(), is_open=True)
+        rig.agent(held, now=CONVERGED)
+        rig.caller(packet(1, fin=True), now=CONVERGED + 0.1)
+        actions = rig.steering.retry(now=CONVERGED + 1, draw=rig.draw)
+        found = [
+            a for a in actions if isinstance(getattr(a, "frame", None), DirectoryUpdate)
+        ]
         self.assertEqual(found, [])
 
     def test_bounded(self) -> None:
@@ -148,6 +161,6 @@
         directory = OwnerDirectory(membership=rig.membership)
         for number in range(MAX_OWNERS + 10):
             entry = (number.to_bytes(12, "big"), "maps-1")
-            directory.store(Register(entries=(entry,)))
+            directory.store(DirectoryUpdate(entries=(entry,)))
         self.assertEqual(len(directory), MAX_OWNERS)
         self.assertIsNone(directory.get((0).to_bytes(12, "big")))
--- a/tests/packets/test_first_asked.py
+++ b/tests/packets/test_first_attempts.py
@@ -3,20 +3,26 @@
 import unittest
 from unittest import mock
 
-from monsoonpier.balancer.packets.first_asked import FirstAttempts
+from monsoonpier.balancer.packets.first_attempts import FirstAttempts
 from monsoonpier.balancer.packets.returning import (
     MAX_REJECTIONS,
     EarlierAttempt,
     ReturningCallers,
 )
-from monsoonpier.wire.frames import Carry, FirstAsked, Refused, Turned, WhenAsked
+from monsoonpier.wire.frames import (
+    AttemptRejected,
+    FirstAttemptQuery,
+    FirstAttemptReply,
+    ForwardPacket,
+    SynRejected,
+)
 from standins.packets.simulation import Simulation, World
-from tests.packets.rig import SERVICE, SETTLED, load, packet, replace, resets
+from tests.packets.rig import CONVERGED, SERVICE, load, packet, replace, resets
 from tests.packets.test_directory import _Group
 
 FULL = {"in_flight": 2, "queued": 1}
-BACK = SETTLED + 1.32
-ANSWER = FirstAsked(flow=packet(1).flow, asked_ms=2_500)
+BACK = CONVERGED + 1.32
+ANSWER = FirstAttemptReply(flow=packet(1).flow, first_attempt_age_ms=2_500)
 
 
 def syn(number: int, *, caller: int = 7):
@@ -54,8 +60,8 @@
 
     def placed_first(self) -> bytes:
         """Reject a caller; return the SYN placed first at the other balancer."""
-        self.take(self.first, 1, now=SETTLED)
-        late = self.retry(self.first, now=SETTLED + 1.31)
+        self.take(self.first, 1, now=CONVERGED)
+        late = self.retry(self.first, now=CONVERGED + 1.31)
         self.assertEqual(resets(late), ["no slot came free"])
         self.take(self.next, 2, now=BACK)
         self.take(self.next, 3, caller=8, now=BACK)
@@ -75,41 +81,45 @@
     def test_asked_once_a_flow_that_waits(self) -> None:
         """The first attempt is queried once, and only for queued flows."""
         (placed,) = self.group.rigs[self.next].caller(syn(9))
-        self.assertIsInstance(placed.frame, Carry)
-        self.take(self.first, 1, now=SETTLED)
-        self.rig.report("maps-1", now=SETTLED, in_flight=2)
-        (placed,) = self.retry(self.first, now=SETTLED + 0.01)
-        turned = Turned(
+        self.assertIsInstance(placed.frame, ForwardPacket)
+        self.take(self.first, 1, now=CONVERGED)
+        self.rig.report("maps-1", now=CONVERGED, in_flight=2)
+        (placed,) = self.retry(self.first, now=CONVERGED + 0.01)
+        turned = SynRejected(
             agent="maps-1",
             payload=syn(1).raw,
             tried=(),
             reason="no slot is free",
             load=load(number=90, **FULL),
         )
-        self.assertEqual(self.rig.agent(turned, syn(1), now=SETTLED + 0.02), [])
+        self.assertEqual(self.rig.agent(turned, syn(1), now=CONVERGED + 0.02), [])
 
     def test_it_waits_no_longer_than_it_is_there(self) -> None:
         """A returning caller's wait is limited by its original timeout."""
         self.assertEqual(self.rig.agent(ANSWER), [])  # for a flow that is gone
-        self.take(self.first, 1, now=SETTLED)
+        self.take(self.first, 1, now=CONVERGED)
         self.rig.agent(ANSWER)
-        late = self.retry(self.first, now=SETTLED + 0.41)
+        late = self.retry(self.first, now=CONVERGED + 0.41)
         self.assertEqual(resets(late), ["no slot came free"])
 
 
-class KeeperTests(unittest.TestCase):
+class DirectoryBalancerTests(unittest.TestCase):
     """Rejections and queries at a directory balancer, in any order."""
 
     def answers(self, *refusals: tuple[int, int], questions: int = 3) -> list[int]:
         balancer = times(next(iter(_Group(1).rigs.values())))
         caller = {"caller": "100.64.0.7", "service": (SERVICE.ip, SERVICE.port)}
-        for asked_ms, back_ms in refusals:
-            frame = Refused(asked_ms=asked_ms, back_ms=back_ms, **caller)
+        for first_attempt_age_ms, next_attempt_ms in refusals:
+            frame = AttemptRejected(
+                first_attempt_age_ms=first_attempt_age_ms,
+                next_attempt_ms=next_attempt_ms,
+                **caller,
+            )
             balancer.store_rejection(frame, now=5.0)
-        question = WhenAsked(flow=syn(2).flow, **caller)
+        question = FirstAttemptQuery(flow=syn(2).flow, **caller)
         sender = ("10.1.0.2", 7720)
         return [
-            reply.frame.asked_ms
+            reply.frame.first_attempt_age_ms
             for _ in range(questions)
             for reply in balancer.reply(question, sender=sender, now=5.1)
         ]
@@ -121,8 +131,8 @@
     def test_long_gone_behind_one_that_gives_up_later(self) -> None:
         """An expired rejection is not used for a new request."""
         callers = ReturningCallers()
-        for asked_at, back_at in ((1.0, 3.4), (0.5, 2.0)):
-            earlier = EarlierAttempt(asked_at=asked_at)
+        for first_attempt_at, back_at in ((1.0, 3.4), (0.5, 2.0)):
+            earlier = EarlierAttempt(first_attempt_at=first_attempt_at)
             callers.record("100.64.0.7", SERVICE, earlier, back_at=back_at)
         found = callers.claim("100.64.0.7", SERVICE, came_at=3.1, now=3.1)
         self.assertIsNone(found)
@@ -160,5 +170,5 @@
         shared = Simulation(self.WORLD).run()
         with mock.patch.object(FirstAttempts, "_directory_balancer", return_value=None):
             alone = Simulation(self.WORLD).run()
-        self.assertLess(shared.left_share, alone.left_share / 3)
+        self.assertLess(shared.late_syn_share, alone.late_syn_share / 3)
         self.assertGreater(shared.in_time, alone.in_time + 0.05)
--- a/tests/packets/test_reservations.py
+++ b/tests/packets/test_reservations.py
@@ -13,18 +13,29 @@
 )
 from monsoonpier.model.service import Configuration
 from monsoonpier.model.target import Condition
-from monsoonpier.model.waiting import LATE_TURN, RESERVED_AT, WaitingFlow, WaitingQueue
-from monsoonpier.wire.frames import Carry, Decline, Offer, Reserve, Turned
+from monsoonpier.model.waiting import (
+    LATE_TURN_INTERVAL,
+    RESERVATIONS_PER_FLOW,
+    WaitingFlow,
+    WaitingQueue,
+)
+from monsoonpier.wire.frames import (
+    DeclineSlot,
+    ForwardPacket,
+    OfferSlot,
+    ReserveSlot,
+    SynRejected,
+)
 from standins.packets.simulation import Simulation, World
 from tests.packets.rig import (
     BALANCER,
+    CONVERGED,
     OTHER_BALANCER,
-    SETTLED,
     SteeringRig,
     answer,
     frames,
-    holder,
     load,
+    owner,
     packet,
     replace,
     resets,
@@ -35,8 +46,8 @@
 
 def reserve(
     number: int, *, in_time_ms: int = 500, wait_ms: int = 1_300, priority: int = 1
-) -> Reserve:
-    return Reserve(
+) -> ReserveSlot:
+    return ReserveSlot(
         service="maps",
         flow=packet(number).flow,
         in_time_ms=in_time_ms,
@@ -149,37 +160,44 @@
 
     def test_few_wait_their_turn(self) -> None:
         """Late flows with time left get one slot in sixteen and don't starve."""
-        self.assertEqual(self.late_turns(late=4, wait_ms=2_900), 64 // LATE_TURN)
+        self.assertEqual(
+            self.late_turns(late=4, wait_ms=2_900), 64 // LATE_TURN_INTERVAL
+        )
 
     def test_what_can_be_served_is_served(self) -> None:
         """After a short burst all late flows are served."""
         turns = self.late_turns(late=16, wait_ms=1_200)
-        self.assertGreater(turns, 2 * 64 // LATE_TURN)
+        self.assertGreater(turns, 2 * 64 // LATE_TURN_INTERVAL)
         self.assertLessEqual(turns, 16)
 
     def test_more_than_can_be_served(self) -> None:
         """Late flows that would expire anyway don't displace those in time."""
-        self.assertEqual(self.late_turns(late=200, wait_ms=1_200), 64 // LATE_TURN)
+        self.assertEqual(
+            self.late_turns(late=200, wait_ms=1_200), 64 // LATE_TURN_INTERVAL
+        )
 
 
 class AgentTests(unittest.TestCase):
     """A target of one slot, used by flow 1, with another flow behind it."""
 
     def setUp(self) -> None:
-        self.holder = holder(slots=1)
+        self.owner = owner(slots=1)
         self.run_request(1, now=1.0)
 
     def run_request(self, number: int, *, now: float) -> None:
         self.bring(number, now=now, is_offered=False)
-        self.holder.from_target(answer(number, syn=True), now=now)
+        self.owner.from_target(answer(number, syn=True), now=now)
         sent = packet(number, size=10)
-        self.holder.from_balancer(
-            Carry(service="maps", payload=sent.raw), sent, sender=BALANCER, now=now
+        self.owner.from_balancer(
+            ForwardPacket(service="maps", payload=sent.raw),
+            sent,
+            sender=BALANCER,
+            now=now,
         )
 
     def bring(self, number: int, *, now: float, is_offered: bool = True) -> list:
         sent = packet(number, syn=True)
-        frame = Carry(
+        frame = ForwardPacket(
             service="maps",
             payload=sent.raw,
             tried=("maps-1",),
@@ -187,77 +205,77 @@
             wait_ms=1_000,
             is_offered=is_offered,
         )
-        return self.holder.from_balancer(frame, sent, sender=BALANCER, now=now)
+        return self.owner.from_balancer(frame, sent, sender=BALANCER, now=now)
 
     def reserve(self, number: int, *, now: float = 1.0, balancer=BALANCER) -> list:
-        return self.holder.reserve(reserve(number), balancer=balancer, now=now)
+        return self.owner.reserve(reserve(number), balancer=balancer, now=now)
 
     def test_next_request_comes_during_the_run(self) -> None:
         """The next flow opens while the slot is in use, so the slot is never empty."""
-        self.assertEqual(len(frames(self.reserve(2), Offer)), 1)
+        self.assertEqual(len(frames(self.reserve(2), OfferSlot)), 1)
         actions = self.bring(2, now=1.004)
         self.assertEqual([a.raw for a in actions], [packet(2, syn=True).raw])
 
     def test_no_more_than_one_ahead(self) -> None:
         """A flow that would wait longer than one request is not sent ahead."""
         self.reserve(2)
-        self.assertEqual(frames(self.reserve(3), Offer), [])
+        self.assertEqual(frames(self.reserve(3), OfferSlot), [])
         self.bring(2, now=1.004)
-        done = self.holder.from_target(answer(1, size=50), now=1.02)
-        self.assertEqual(len(frames(done, Offer)), 1)
+        done = self.owner.from_target(answer(1, size=50), now=1.02)
+        self.assertEqual(len(frames(done, OfferSlot)), 1)
 
     def test_decline_goes_on_to_another(self) -> None:
         """A declined slot is offered to the next balancer at once."""
         self.reserve(2)
         self.reserve(3, balancer=OTHER_BALANCER)
-        actions = self.holder.declined(balancer=BALANCER, now=1.003)
+        actions = self.owner.declined(balancer=BALANCER, now=1.003)
         self.assertEqual([a.endpoint for a in actions], [OTHER_BALANCER])
 
     def test_unasked_flows_go_back(self) -> None:
         """A flow sent without an offer doesn't overtake reservations."""
         self.reserve(2)
         self.assertEqual(
-            len(frames(self.bring(3, now=1.001, is_offered=False), Turned)), 1
+            len(frames(self.bring(3, now=1.001, is_offered=False), SynRejected)), 1
         )
-        self.assertGreater(self.holder.load(now=1.001).in_flight, 1)
+        self.assertGreater(self.owner.load(now=1.001).in_flight, 1)
 
     def test_leaving_target_offers_nothing(self) -> None:
         """A leaving target drops its reservations and offers no slot."""
         self.reserve(2)
-        self.holder.condition = Condition.LEAVING
-        self.assertEqual(frames(self.holder.expire(now=1.1), Offer), [])
-        self.assertEqual(frames(self.reserve(3, now=1.1), Offer), [])
-        refused = frames(self.bring(2, now=1.1), Turned)
+        self.owner.condition = Condition.LEAVING
+        self.assertEqual(frames(self.owner.expire(now=1.1), OfferSlot), [])
+        self.assertEqual(frames(self.reserve(3, now=1.1), OfferSlot), [])
+        refused = frames(self.bring(2, now=1.1), SynRejected)
         self.assertEqual([frame.reason for frame in refused], ["leaving"])
 
     def test_connection_limit(self) -> None:
         """A target without a free connection offers no slot."""
         for number in range(10, 109):
-            self.holder.from_target(answer(number, size=5), now=1.0)
-        self.assertGreaterEqual(self.holder.flows, 100)
-        self.assertEqual(frames(self.reserve(2), Offer), [])
+            self.owner.from_target(answer(number, size=5), now=1.0)
+        self.assertGreaterEqual(self.owner.flows, 100)
+        self.assertEqual(frames(self.reserve(2), OfferSlot), [])
 
     def test_cold_limit(self) -> None:
         """A cold target offers no more slots than its limit per second."""
-        self.holder = holder(slots=4)
-        cold = self.holder.target_load.cold
+        self.owner = owner(slots=4)
+        cold = self.owner.target_load.cold
         cold.per_second, cold.until = 2.0, 5.0
-        offers = [frames(self.reserve(number), Offer) for number in range(4)]
+        offers = [frames(self.reserve(number), OfferSlot) for number in range(4)]
         self.assertEqual([len(found) for found in offers], [1, 1, 0, 0])
 
     def test_offered_slot_is_kept(self) -> None:
         """A flow sent without an offer doesn't take an offered slot."""
-        self.holder = holder(slots=1)
+        self.owner = owner(slots=1)
         self.reserve(2)
         self.reserve(3, balancer=OTHER_BALANCER)
         unasked = self.bring(9, now=1.001, is_offered=False)
-        self.assertEqual(len(frames(unasked, Turned)), 1)
+        self.assertEqual(len(frames(unasked, SynRejected)), 1)
 
     def test_offer_that_is_not_answered(self) -> None:
         """An unanswered offer expires, and others get the slot."""
         self.reserve(2)
         self.reserve(3, balancer=OTHER_BALANCER)
-        late = self.holder.expire(now=1.0 + OFFER_SECONDS)
+        late = self.owner.expire(now=1.0 + OFFER_SECONDS)
         self.assertEqual([a.endpoint for a in late], [OTHER_BALANCER])
 
 
@@ -267,65 +285,69 @@
     def setUp(self) -> None:
         self.rig = SteeringRig(targets=3, reserves=True)
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
 
-    def offer(self, name: str = "maps-1", *, now: float = SETTLED, **fields) -> list:
+    def offer(self, name: str = "maps-1", *, now: float = CONVERGED, **fields) -> list:
         report = load(number=50, in_flight=3, **fields)
-        return self.rig.agent(Offer(agent=name, load=report), now=now)
+        return self.rig.agent(OfferSlot(agent=name, load=report), now=now)
 
     def test_reserves_at_two_agents(self) -> None:
         """A queued flow reserves at two agents and stays at the balancer."""
         actions = self.rig.caller(packet(syn=True))
-        self.assertEqual(len(frames(actions, Reserve)), RESERVED_AT)
-        self.assertEqual(len(set(self.rig.names(actions))), RESERVED_AT)
-        self.assertEqual(frames(actions, Carry), [])
+        self.assertEqual(len(frames(actions, ReserveSlot)), RESERVATIONS_PER_FLOW)
+        self.assertEqual(len(set(self.rig.names(actions))), RESERVATIONS_PER_FLOW)
+        self.assertEqual(frames(actions, ForwardPacket), [])
 
     def test_nothing_without_the_setting(self) -> None:
         """Without the setting no reservation is sent."""
         self.rig = SteeringRig(targets=1)
-        self.rig.report("maps-1", now=SETTLED, in_flight=3)
+        self.rig.report("maps-1", now=CONVERGED, in_flight=3)
         self.assertEqual(self.rig.caller(packet(syn=True)), [])
 
     def test_offer_takes_the_first_by_then(self) -> None:
         """The flow is chosen when a slot is offered, not when it was reserved."""
-        self.rig.caller(packet(1, syn=True), now=SETTLED)
-        self.rig.caller(packet(2, syn=True), now=SETTLED + 0.01)
-        actions = self.offer(now=SETTLED + 0.02)
-        self.assertEqual([f.payload for f in frames(actions, Carry)], [packet(1).raw])
-        self.assertTrue(frames(actions, Carry)[0].is_offered)
+        self.rig.caller(packet(1, syn=True), now=CONVERGED)
+        self.rig.caller(packet(2, syn=True), now=CONVERGED + 0.01)
+        actions = self.offer(now=CONVERGED + 0.02)
+        self.assertEqual(
+            [f.payload for f in frames(actions, ForwardPacket)], [packet(1).raw]
+        )
+        self.assertTrue(frames(actions, ForwardPacket)[0].is_offered)
 
     def test_nothing_left(self) -> None:
         """An offer without a queued flow is declined."""
         self.rig.caller(packet(1, syn=True))
         self.offer()
-        self.assertEqual(len(frames(self.offer("maps-2"), Decline)), 1)
+        self.assertEqual(len(frames(self.offer("maps-2"), DeclineSlot)), 1)
 
     def test_agent_that_ended(self) -> None:
         """A flow that gets no offer reserves at further agents, within bounds."""
         self.rig.caller(packet(1, syn=True))
-        now, reserved = SETTLED, []
-        while now < SETTLED + 1.25:
+        now, reserved = CONVERGED, []
+        while now < CONVERGED + 1.25:
             now += 0.1
             for number in (1, 2, 3):
                 self.rig.report(f"maps-{number}", now=now, in_flight=3)
-            waited = round(now - SETTLED, 1)
+            waited = round(now - CONVERGED, 1)
             if waited in (0.2, 0.6):
                 copy = replace(packet(1, syn=True), waited=waited)
                 self.rig.caller(copy, now=now)
             actions = self.rig.steering.retry(now=now, draw=self.rig.draw)
             reserved += self.rig.names(actions)
         self.assertEqual(len(reserved), 1)  # the only agent without a reservation
-        self.assertLessEqual(RESERVED_AT + len(reserved), MAX_AGENTS)
+        self.assertLessEqual(RESERVATIONS_PER_FLOW + len(reserved), MAX_AGENTS)
 
     def test_new_request_after_the_last_try(self) -> None:
         """A caller that has used up its attempts counts as new."""
         in_time_ms = []
-        now = SETTLED
+        now = CONVERGED
         for number in range(4):
             for name in ("maps-1", "maps-2", "maps-3"):
                 self.rig.report(name, now=now, in_flight=3)
             actions = self.rig.caller(packet(number, syn=True), now=now)
-            in_time_ms += [frame.in_time_ms for frame in frames(actions, Reserve)[:1]]
+            in_time_ms += [
+                frame.in_time_ms for frame in frames(actions, ReserveSlot)[:1]
+            ]
             for name in ("maps-1", "maps-2", "maps-3"):
                 self.rig.report(name, now=now + 1.3, in_flight=3)
             self.rig.steering.retry(now=now + 1.31, draw=self.rig.draw)
@@ -336,7 +358,7 @@
         """An offer from an evacuated data centre isn't accepted."""
         self.rig.caller(packet(1, syn=True))
         self.rig.membership.table.evacuated = frozenset({"dc-1"})
-        self.assertEqual(len(frames(self.offer(), Decline)), 1)
+        self.assertEqual(len(frames(self.offer(), DeclineSlot)), 1)
 
     def test_route_removed(self) -> None:
         """A queued flow whose route is removed is reset."""
@@ -348,15 +370,15 @@
         """Reservations of a flow that is presumed abandoned are cancelled."""
         begun = self.rig.caller(packet(1, syn=True))
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED + 0.3, in_flight=3)
-        left = self.rig.steering.retry(now=SETTLED + 0.31, draw=self.rig.draw)
+            self.rig.report(f"maps-{number}", now=CONVERGED + 0.3, in_flight=3)
+        left = self.rig.steering.retry(now=CONVERGED + 0.31, draw=self.rig.draw)
         self.assertEqual(self.rig.names(left), self.rig.names(begun))
-        self.assertEqual({f.wait_ms for f in frames(left, Reserve)}, {0})
-        actions = self.offer(now=SETTLED + 0.32)
-        self.assertEqual(len(frames(actions, Decline)), 1)
+        self.assertEqual({f.wait_ms for f in frames(left, ReserveSlot)}, {0})
+        actions = self.offer(now=CONVERGED + 0.32)
+        self.assertEqual(len(frames(actions, DeclineSlot)), 1)
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED + 0.6, in_flight=3)
-        later = self.rig.steering.retry(now=SETTLED + 0.61, draw=self.rig.draw)
+            self.rig.report(f"maps-{number}", now=CONVERGED + 0.6, in_flight=3)
+        later = self.rig.steering.retry(now=CONVERGED + 0.61, draw=self.rig.draw)
         self.assertEqual(later, [])
 
     def test_refused_while_reserved(self) -> None:
@@ -366,7 +388,7 @@
             self.rig.report(f"maps-{number}", now=101.0, in_flight=3)
         late = self.rig.steering.retry(now=101.31, draw=self.rig.draw)
         self.assertEqual(resets(late), ["no slot came free"])
-        self.assertEqual(len(frames(self.offer(now=101.32), Decline)), 1)
+        self.assertEqual(len(frames(self.offer(now=101.32), DeclineSlot)), 1)
 
 
 class SpeedTests(unittest.TestCase):
@@ -418,12 +440,12 @@
 
     def test_more_are_answered_in_time(self) -> None:
         """Reservations serve more flows in time."""
-        self.assertGreater(self.outcome.worth, self.plain_outcome.worth + 0.02)
+        self.assertGreater(self.outcome.score, self.plain_outcome.score + 0.02)
         self.assertGreaterEqual(self.outcome.served, self.plain_outcome.served)
 
     def test_where_callers_enter_matters_less(self) -> None:
         """With reservations waits differ less between data centres."""
-        late = self.reserved.late_by_data_centre()
-        plain = self.plain.late_by_data_centre()
+        late = self.reserved.late_share_by_data_centre()
+        plain = self.plain.late_share_by_data_centre()
         self.assertLess(max(late) - min(late), 0.06)
         self.assertLess(max(late) - min(late), max(plain) - min(plain))
--- a/tests/packets/test_steering.py
+++ b/tests/packets/test_steering.py
@@ -11,19 +11,19 @@
 from monsoonpier.model.target import Condition
 from monsoonpier.wire.frames import (
     MAX_FRAME_BYTES,
-    Carry,
+    FlowNotOwned,
+    FlowOwned,
+    ForwardPacket,
     FrameCodec,
-    Held,
-    Holds,
-    Load,
-    NotHeld,
-    PassOn,
-    Turned,
-    Whose,
+    LoadUpdate,
+    OwnershipQuery,
+    OwnershipReply,
+    RelayPacket,
+    SynRejected,
 )
 from tests.packets.rig import (
+    CONVERGED,
     OWN,
-    SETTLED,
     SteeringRig,
     load,
     packet,
@@ -35,17 +35,17 @@
 OTHER_ADDRESS = Address(ip="198.18.0.9", port=1)
 
 
-def held(agent: str, sent, *, is_open: bool = True) -> Held:
-    return Held(flow=sent.flow, agent=agent, load=load(number=9), is_open=is_open)
+def held(agent: str, sent, *, is_open: bool = True) -> FlowOwned:
+    return FlowOwned(flow=sent.flow, agent=agent, load=load(number=9), is_open=is_open)
 
 
-def denied(agent: str, sent) -> NotHeld:
-    return NotHeld(agent=agent, flow=sent.flow, payload=sent.raw)
+def denied(agent: str, sent) -> FlowNotOwned:
+    return FlowNotOwned(agent=agent, flow=sent.flow, payload=sent.raw)
 
 
-def turned(agent: str, sent, **fields) -> Turned:
+def turned(agent: str, sent, **fields) -> SynRejected:
     more = {"tried": (agent,), "reason": "busy", "load": load(number=9)} | fields
-    return Turned(agent=agent, payload=sent.raw, **more)
+    return SynRejected(agent=agent, payload=sent.raw, **more)
 
 
 class NewFlowTests(unittest.TestCase):
@@ -77,21 +77,21 @@
             frame = turned(name, packet(syn=True), load=full)
             actions = self.rig.agent(frame, packet(syn=True))
         self.assertEqual(actions, [])
-        freed = Load(load=load(number=10, in_flight=1))
+        freed = LoadUpdate(load=load(number=10, in_flight=1))
         self.assertEqual(self.rig.names(self.rig.agent(freed)), ["maps-2"])
 
     def test_copy_of_a_waiting_syn(self) -> None:
         """A retransmission of a queued SYN changes nothing."""
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
         for seconds in (0.0, 0.2, 0.3):
-            now = SETTLED + seconds
+            now = CONVERGED + seconds
             self.assertEqual(self.rig.caller(packet(syn=True), now=now), [])
 
     def test_route_removed_while_it_waits(self) -> None:
         """A queued SYN whose route is removed is reset at once."""
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
         self.rig.caller(packet(syn=True))
         self.rig.membership.configure(Configuration(version=2))
         self.rig.steering.configured()
@@ -102,7 +102,7 @@
     def test_refused_before_the_caller_gives_up(self) -> None:
         """A queued SYN that gets no slot is reset before its caller gives up."""
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
         self.rig.caller(packet(syn=True))
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=101.0, in_flight=3)
@@ -113,7 +113,7 @@
     def test_refused_at_once_behind_a_long_queue(self) -> None:
         """A SYN that can't be served in time is reset at once."""
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
         reasons = [
             reason
             for number in range(500)
@@ -136,7 +136,7 @@
     def test_copy_has_waited_already(self) -> None:
         """The wait counts from the first SYN, even if another balancer got that."""
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
         self.rig.caller(replace(packet(syn=True), waited=0.6))
         self.assertTrue(self.rig.steering.is_waiting)
         self.rig.steering.retry(now=100.71, draw=self.rig.draw)
@@ -145,7 +145,7 @@
     def test_refused_copy_is_not_reset(self) -> None:
         """A rejected retransmission is not reset, as the first SYN may be queued."""
         for number in (1, 2, 3):
-            self.rig.report(f"maps-{number}", now=SETTLED, in_flight=3)
+            self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
         copy = replace(packet(syn=True), waited=0.6)
         actions = self.rig.caller(copy)
         actions += self.rig.steering.retry(now=100.71, draw=self.rig.draw)
@@ -195,30 +195,32 @@
     def setUp(self) -> None:
         self.rig = SteeringRig(targets=3)
 
-    def test_asks_all_and_remembers_the_holder(self) -> None:
+    def test_queries_all_and_records_the_owner(self) -> None:
         """All agents of the service are queried; later packets go to the owner."""
         actions = self.rig.caller(packet())
         self.assertEqual(self.rig.names(actions), ["maps-1", "maps-2", "maps-3"])
         self.rig.agent(held("maps-2", packet()))
         self.assertEqual(self.rig.names(self.rig.caller(packet())), ["maps-2"])
 
-    def _answers(self, *, held=(), sure: bool = True, name="maps-1", now=SETTLED):
-        frame = Holds(question=1, agent=name, held=held, is_sure=sure)
+    def _answers(self, *, held=(), sure: bool = True, name="maps-1", now=CONVERGED):
+        frame = OwnershipReply(question=1, agent=name, held=held, is_conclusive=sure)
         return self.rig.agent(frame, now=now)
 
     def test_question_is_answered_for_many_flows(self) -> None:
         """One reply confirms owned flows; the others need replies of all agents."""
-        self.rig.caller(packet(1), now=SETTLED)
+        self.rig.caller(packet(1), now=CONVERGED)
         for number in (2, 3):
             self.assertEqual(self.rig.caller(packet(number), now=100.001), [])
         actions = self.rig.steering.retry(now=100.03, draw=self.rig.draw)
-        asked = [a.frame.flows for a in actions if isinstance(a.frame, Whose)]
+        asked = [a.frame.flows for a in actions if isinstance(a.frame, OwnershipQuery)]
         flows = (packet(2).flow, packet(3).flow)
         self.assertEqual(asked, [flows] * 3)
-        held = Holds(question=2, agent="maps-1", held=flows[:1], is_sure=True)
+        held = OwnershipReply(
+            question=2, agent="maps-1", held=flows[:1], is_conclusive=True
+        )
         self.assertEqual(self.rig.names(self.rig.agent(held)), ["maps-1"])
         for name in ("maps-2", "maps-3"):
-            none = Holds(question=2, agent=name, held=(), is_sure=True)
+            none = OwnershipReply(question=2, agent=name, held=(), is_conclusive=True)
             actions = self.rig.agent(none)
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
@@ -226,7 +228,7 @@
         """A reply to a query from before a restart is ignored."""
         rig = SteeringRig(targets=1, started_at=50.0)
         rig.caller(packet())
-        old = Holds(question=1, agent="maps-1", held=(), is_sure=True)
+        old = OwnershipReply(question=1, agent="maps-1", held=(), is_conclusive=True)
         self.assertEqual(rig.agent(old), [])
 
     def test_agent_that_cannot_know(self) -> None:
@@ -236,7 +238,7 @@
             self.assertEqual(self._answers(name=name), [])
         actions = self._answers(sure=False)
         self.assertEqual(self.rig.names(actions), ["maps-1"])
-        self.assertTrue(actions[0].frame.asks)
+        self.assertTrue(actions[0].frame.wants_reply)
         self.assertEqual(self.rig.agent(held("maps-1", packet())), [])
 
     def test_tried_once_in_a_while(self) -> None:
@@ -254,13 +256,17 @@
         rig.caller(packet(size=10))
         actions: list = []
         for number in range(1, 9):
-            reply = Holds(
-                question=1, agent=f"maps-{number}", held=(), is_sure=False, run_ms=None
+            reply = OwnershipReply(
+                question=1,
+                agent=f"maps-{number}",
+                held=(),
+                is_conclusive=False,
+                run_ms=None,
             )
             actions += rig.agent(reply)
         self.assertEqual(rig.names(actions), ["maps-1", "maps-2"])
         collected = rig.steering.retry(now=100.02, draw=rig.draw)
-        self.assertEqual([type(a.frame) for a in collected], [PassOn])
+        self.assertEqual([type(a.frame) for a in collected], [RelayPacket])
         reached = {collected[0].endpoint, *collected[0].frame.endpoints}
         self.assertEqual(reached, {(f"10.2.0.{n}", 7720) for n in range(3, 9)})
         self.assertEqual(rig.steering.retry(now=100.04, draw=rig.draw), [])
@@ -270,8 +276,12 @@
         rig = SteeringRig(targets=60)
         rig.caller(replace(packet(), raw=bytes(1_231)))
         for number in range(1, 61):
-            reply = Holds(
-                question=1, agent=f"maps-{number}", held=(), is_sure=False, run_ms=None
+            reply = OwnershipReply(
+                question=1,
+                agent=f"maps-{number}",
+                held=(),
+                is_conclusive=False,
+                run_ms=None,
             )
             rig.agent(reply)
         collected = rig.steering.retry(now=100.02, draw=rig.draw)
@@ -300,7 +310,7 @@
     def test_no_reset_while_one_is_silent(self) -> None:
         """No flow is reset while one agent doesn't reply."""
         for n in range(50):
-            now = SETTLED + n / 10
+            now = CONVERGED + n / 10
             actions = self.rig.caller(packet(), now=now)
             for name in ("maps-1", "maps-3"):
                 actions += self.rig.agent(denied(name, packet()), packet(), now=now)
@@ -328,7 +338,7 @@
 
     def _deliver_gossip(self, peer: Membership, *, now: float) -> list:
         """Deliver a peer's gossip."""
-        sent = peer.greeting(OWN.endpoint, now=now, draw=self.rig.draw)
+        sent = peer.extra_gossip(OWN.endpoint, now=now, draw=self.rig.draw)
         sender = peer.peers.own.endpoint
         return self.rig.membership.from_process(
             sent.frame, sender=sender, now=now, draw=self.rig.draw
@@ -416,7 +426,9 @@
             self.rig.agent(denied(name, sent), sent, now=0.2)
         self.rig.caller(packet(9), now=0.25)
         for name in ("maps-1", "maps-2", "maps-3"):
-            reply = Holds(question=2, agent=name, held=(), is_sure=True, run_ms=200)
+            reply = OwnershipReply(
+                question=2, agent=name, held=(), is_conclusive=True, run_ms=200
+            )
             self.rig.agent(reply, now=0.26)
         self.assertEqual(self.rig.steering.retry(now=0.28, draw=self.rig.draw), [])
         actions = self.rig.steering.retry(now=0.39, draw=self.rig.draw)
@@ -428,7 +440,7 @@
         for step in range(round((until - since) * 100)):
             now = since + step / 100
             actions = rig.steering.retry(now=now, draw=rig.draw)
-            frames = [a for a in actions if isinstance(a.frame, Whose)]
+            frames = [a for a in actions if isinstance(a.frame, OwnershipQuery)]
             asked += [(round(now, 2), name) for name in rig.names(frames)]
         return asked
 
@@ -437,7 +449,7 @@
         self.rig.caller(packet())
         for name in ("maps-1", "maps-3"):
             self.rig.agent(denied(name, packet()), packet())
-        asked = self._queries_in(self.rig, since=SETTLED, until=SETTLED + 0.25)
+        asked = self._queries_in(self.rig, since=CONVERGED, until=CONVERGED + 0.25)
         self.assertEqual([name for _, name in asked], ["maps-2"])
         actions = self.rig.agent(denied("maps-2", packet()), packet(), now=100.51)
         self.assertEqual(resets(actions), ["nobody holds the flow"])
@@ -448,7 +460,7 @@
         for name in ("maps-1", "maps-3"):
             self.rig.agent(denied(name, packet()), packet())
         gone = record("maps-3", host=3, change=1, condition=Condition.GONE)
-        self.rig.membership.table.learn(gone, now=SETTLED)
+        self.rig.membership.table.learn(gone, now=CONVERGED)
         actions = self.rig.agent(denied("maps-1", packet()), packet(), now=100.1)
         actions += self.rig.caller(packet(), now=100.4)
         self.assertEqual(resets(actions), [])
@@ -461,7 +473,7 @@
                 self.rig.learn(record("maps-4", host=4))
             actions = self.rig.agent(denied(name, packet()), packet())
             self.assertEqual(resets(actions), [])
-        asked = self._queries_in(self.rig, since=SETTLED, until=SETTLED + 0.25)
+        asked = self._queries_in(self.rig, since=CONVERGED, until=CONVERGED + 0.25)
         self.assertEqual([name for _, name in asked], ["maps-4"])
 
     def test_silent_agent_is_asked_a_few_times(self) -> None:
@@ -470,7 +482,7 @@
         actions = []
         for name in ("maps-1", "maps-3"):
             actions += self.rig.agent(denied(name, packet()), packet())
-        asked = self._queries_in(self.rig, since=SETTLED, until=SETTLED + 30)
+        asked = self._queries_in(self.rig, since=CONVERGED, until=CONVERGED + 30)
         self.assertEqual({name for _, name in asked}, {"maps-2"})
         self.assertEqual(len(asked), 5)
         self.assertFalse(self.rig.steering.is_waiting)
@@ -481,26 +493,30 @@
         rig.caller(packet(), now=100.4)
         actions: list = []
         for name in ("maps-1", "maps-2", "maps-3"):
-            reply = Holds(
-                question=100_000_001, agent=name, held=(), is_sure=True, run_ms=run_ms
+            reply = OwnershipReply(
+                question=100_000_001,
+                agent=name,
+                held=(),
+                is_conclusive=True,
+                run_ms=run_ms,
             )
             actions += rig.agent(reply, now=100.41)
         return resets(actions)
 
     def test_power_was_lost_everywhere(self) -> None:
         """If all targets started with the balancer, dead flows are reset at once."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         answered = self._power_returned(rig, run_ms=300)
         self.assertEqual(answered, ["nobody holds the flow"])
 
     def test_targets_are_older_than_the_balancer(self) -> None:
         """If targets are older than the balancer, another one may be unknown."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         self.assertEqual(self._power_returned(rig, run_ms=30_000), [])
 
     def test_doubtful_agents_after_loss_of_power(self) -> None:
         """No probe is sent if all targets have just started."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         rig.membership.has_agreed = True
         rig.caller(packet(), now=100.4)
         actions: list = []
@@ -512,7 +528,7 @@
 
     def test_agent_without_a_target_after_loss_of_power(self) -> None:
         """An agent without a target doesn't delay resets after a power loss."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         rig.membership.has_agreed = True
         rig.caller(packet(), now=100.4)
         actions: list = []
@@ -533,7 +549,7 @@
         rig.agent(reply, now=160.01)
         rig.learn(record("maps-2", host=2, change=1, condition=condition), now=160.1)
         rig.caller(packet(2), now=then)
-        sure = Holds(question=0, agent="maps-1", held=(), is_sure=True)
+        sure = OwnershipReply(question=0, agent="maps-1", held=(), is_conclusive=True)
         number = rig.steering._resolver._queries._last_query
         return resets(rig.agent(replace(sure, question=number), now=then + 0.01))
 
@@ -550,7 +566,7 @@
 
     def test_only_agents_without_a_target(self) -> None:
         """Without a report of a target a power loss is not assumed."""
-        rig = SteeringRig(targets=2, started_at=SETTLED)
+        rig = SteeringRig(targets=2, started_at=CONVERGED)
         rig.membership.has_agreed = True
         rig.caller(packet(), now=100.4)
         actions: list = []
@@ -564,7 +580,7 @@
 
     def test_power_returns_before_peers_agree(self) -> None:
         """Without an agreeing peer, running agents get time to send a heartbeat."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         rig.caller(packet(), now=100.4)
         actions: list = []
         for name in ("maps-1", "maps-2", "maps-3"):
@@ -576,30 +592,38 @@
 
     def test_agent_that_starts_late(self) -> None:
         """While a reply is missing, targets that have just started are not probed."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         rig.caller(packet(), now=100.4)
         for name in ("maps-1", "maps-2"):
             rig.agent(self._inconclusive_reply(name, run_ms=300), now=100.41)
         actions = rig.caller(packet(), now=100.6)
-        carried = [a for a in actions if isinstance(a.frame, Carry)]
+        carried = [a for a in actions if isinstance(a.frame, ForwardPacket)]
         self.assertEqual(carried, [])
 
     def test_one_doubtful_agent(self) -> None:
         """A target that has just started is probed if all other agents deny."""
-        rig = SteeringRig(targets=3, started_at=SETTLED)
+        rig = SteeringRig(targets=3, started_at=CONVERGED)
         rig.caller(packet(), now=100.4)
         actions = rig.agent(self._inconclusive_reply("maps-2", run_ms=300), now=100.41)
         self.assertEqual(rig.names(actions), [])
         for name in ("maps-1", "maps-3"):
-            reply = Holds(
-                question=100_000_001, agent=name, held=(), is_sure=True, run_ms=30_000
+            reply = OwnershipReply(
+                question=100_000_001,
+                agent=name,
+                held=(),
+                is_conclusive=True,
+                run_ms=30_000,
             )
             actions = rig.agent(reply, now=100.42)
         self.assertEqual(rig.names(actions), ["maps-2"])
 
-    def _inconclusive_reply(self, name: str, *, run_ms: int) -> Holds:
-        return Holds(
-            question=100_000_001, agent=name, held=(), is_sure=False, run_ms=run_ms
+    def _inconclusive_reply(self, name: str, *, run_ms: int) -> OwnershipReply:
+        return OwnershipReply(
+            question=100_000_001,
+            agent=name,
+            held=(),
+            is_conclusive=False,
+            run_ms=run_ms,
         )
 
     def test_targets_younger_than_the_balancer(self) -> None:
@@ -607,11 +631,15 @@
 
         All targets may have been replaced since the balancer started.
         """
-        rig = SteeringRig(targets=2, started_at=SETTLED)
+        rig = SteeringRig(targets=2, started_at=CONVERGED)
         rig.membership.has_agreed = True
         rig.caller(packet(size=10), now=160.0)
-        reply = Holds(
-            question=100_000_001, agent="maps-1", held=(), is_sure=True, run_ms=9_000
+        reply = OwnershipReply(
+            question=100_000_001,
+            agent="maps-1",
+            held=(),
+            is_conclusive=True,
+            run_ms=9_000,
         )
         actions = rig.agent(reply, now=160.01)
         actions += rig.agent(self._inconclusive_reply("maps-2", run_ms=900), now=160.01)
@@ -620,16 +648,18 @@
 
     def test_doubtful_while_another_is_silent(self) -> None:
         """A probe isn't held back for ever by an agent that doesn't reply."""
-        rig = SteeringRig(targets=2, started_at=SETTLED)
+        rig = SteeringRig(targets=2, started_at=CONVERGED)
         rig.caller(packet(size=10), now=160.0)
         rig.agent(self._inconclusive_reply("maps-2", run_ms=900), now=160.01)
         actions = rig.caller(packet(size=10), now=160.2)
-        carried = [a for a in actions if isinstance(a.frame, Carry)]
+        carried = [a for a in actions if isinstance(a.frame, ForwardPacket)]
         self.assertEqual(rig.names(carried), ["maps-2"])
 
     def test_power_was_lost_in_one_data_centre(self) -> None:
         """No flow is reset until targets of all data centres are known."""
-        rig = SteeringRig(targets=3, started_at=SETTLED, data_centres=("dc-1", "dc-2"))
+        rig = SteeringRig(
+            targets=3, started_at=CONVERGED, data_centres=("dc-1", "dc-2")
+        )
         self.assertEqual(self._power_returned(rig, run_ms=300), [])
 
     def test_few_met_targets_prove_nothing(self) -> None:
@@ -640,7 +670,7 @@
         """
         for places in (("dc-1",), ("dc-1", "dc-2")):
             with self.subTest(places=places):
-                rig = SteeringRig(targets=0, started_at=SETTLED, data_centres=places)
+                rig = SteeringRig(targets=0, started_at=CONVERGED, data_centres=places)
                 rig.membership.has_agreed = True
                 met = {"maps-1"} if len(places) == 1 else {"maps-1", "maps-2", "maps-3"}
                 for number in range(1, 5):
@@ -680,19 +710,19 @@
         self.assertEqual(rig.reached(actions), rig.known_endpoints)
         self.assertLessEqual(len(actions), 3)
 
-    def test_denied_by_the_remembered_holder(self) -> None:
+    def test_denied_by_the_recorded_owner(self) -> None:
         """When the known owner denies a flow, the other agents are queried."""
         self.rig.agent(held("maps-2", packet()))
         actions = self.rig.agent(denied("maps-2", packet()), packet())
         self.assertEqual(self.rig.names(actions), ["maps-1", "maps-3"])
 
-    def test_holder_has_ended(self) -> None:
+    def test_owner_has_ended(self) -> None:
         """A flow whose target has ended is reset at once."""
         self.rig.agent(held("maps-2", packet()))
         self.rig.learn(record("maps-2", host=2, epoch=2, condition=Condition.GONE))
         self.assertEqual(resets(self.rig.caller(packet())), ["target gone"])
 
-    def test_thought_holder_has_ended(self) -> None:
+    def test_presumed_owner_has_ended(self) -> None:
         """A flow is not reset when a target ends that only got its SYN."""
         placed = self.rig.names(self.rig.caller(packet(syn=True)))
         number = int(placed[0][-1])
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from monsoonpier.agent.tokens import actions
-from monsoonpier.agent.tokens.holder import Holder
+from monsoonpier.agent.tokens.owner import FlowOwner
 from monsoonpier.balancer.actions import ToAgent, ToCaller
 from monsoonpier.balancer.tokens.decision import Balancer
 from monsoonpier.caller.session import FlowLostEvent, FlowSession, RequestEnded
@@ -20,9 +20,15 @@
 from monsoonpier.model.outcome import Outcome
 from monsoonpier.model.service import Configuration, Kind, Limits, Preference, Service
 from monsoonpier.model.target import TargetRecord
-from monsoonpier.model.token import HolderToken
+from monsoonpier.model.token import FlowToken
 from monsoonpier.wire.datagrams import reply_codec
-from monsoonpier.wire.frames import Announce, BalancerRecord, Bounce, Heartbeat, Return
+from monsoonpier.wire.frames import (
+    Announce,
+    BalancerRecord,
+    Heartbeat,
+    OpenReturned,
+    ReplyDatagram,
+)
 
 KEYS = KeyRing(keys=(Key(id=1, secret=b"k" * 32),))
 CALLER = ("10.9.9.9", 5000)
@@ -64,12 +70,12 @@
     return TargetRecord(**fields | more)
 
 
-def holder(of: TargetRecord, **limits) -> Holder:
+def holder(of: TargetRecord, **limits) -> FlowOwner:
     """Return the decision logic of an agent whose target serves."""
-    token = HolderToken(service="maps", ip=of.ip, port=of.port, instance=of.instance)
-    made = Holder(token=token, keys=KEYS, slots=of.slots, connections=of.connections)
+    token = FlowToken(service="maps", ip=of.ip, port=of.port, instance=of.instance)
+    made = FlowOwner(token=token, keys=KEYS, slots=of.slots, connections=of.connections)
     made.service = service(**limits)
-    made.life = made.life.healthy(now=0.0)
+    made.lifecycle = made.lifecycle.healthy(now=0.0)
     return made
 
 
@@ -241,7 +247,7 @@
     def _to_agent(self, via: Balancer, endpoint, frame) -> None:
         for name, of in self.records.items():
             if of.address.endpoint == endpoint and name not in self.dead:
-                done = self.holders[name].forwarded(
+                done = self.holders[name].handle_datagram(
                     frame,
                     via=via.peers.own.endpoint,
                     now=self.now,
@@ -252,7 +258,7 @@
     def _do(self, agent: str, todo: list) -> None:
         for action in todo:
             match action:
-                case actions.Reply() | actions.Return():
+                case actions.Reply() | actions.ReturnOpen():
                     self.at(DELAY, self._from_agent, agent, action)
                 case actions.Run():
                     self._run(agent, action)
@@ -270,9 +276,9 @@
         common |= {"agent": agent, "load": load}
         match action:
             case actions.Reply(message=message):
-                frame = Return(payload=reply_codec.encode(message), **common)
-            case actions.Return():
-                frame = Bounce(
+                frame = ReplyDatagram(payload=reply_codec.encode(message), **common)
+            case actions.ReturnOpen():
+                frame = OpenReturned(
                     payload=action.payload,
                     tried=action.tried,
                     reason=action.reason,
@@ -313,7 +319,7 @@
             result = actions.Answered(status=200, body=body, seconds=seconds)
         self.at(seconds, self._ended, agent, self.holders[agent], run.key, result)
 
-    def _ended(self, agent: str, of: Holder, key, result) -> None:
+    def _ended(self, agent: str, of: FlowOwner, key, result) -> None:
         # A process that was killed in the meantime receives no result.
         if self.holders.get(agent) is of and agent not in self.dead:
             if key in self._aborted:
