--- a/monsoonpier/agent/balancer_link.py
+++ b/monsoonpier/agent/balancer_link.py
@@ -38,7 +38,7 @@
 # short, since after a loss of power balancers may start a moment after agents.
 MIN_ANNOUNCE_SECONDS = 0.03
 MAX_ANNOUNCE_SECONDS = 0.2
-ANNOUNCE_SAMPLE = 4  # balancers in a round besides the seeds, which may start last
+ANNOUNCE_SAMPLE = 4  # balancers per round besides the seeds, which may start last
 _log = structlog.get_logger("monsoonpier.agent.balancer_link")
 
 
@@ -60,7 +60,7 @@
 
 
 class BalancerLink:
-    """Keeps balancers informed of the target, and the agent of its configuration.
+    """Sends heartbeats to balancers; receives configurations and evacuation orders.
 
     Args:
         settings: The settings of this process.
@@ -124,7 +124,7 @@
             self._send(self._announcement(), balancer.endpoint)
 
     def set_instance(self, instance: bytes, *, slots: int) -> None:
-        """Put the target's instance and slots into its record."""
+        """Update the target's record with its instance and number of slots."""
         self.record = msgspec.structs.replace(
             self.record,
             instance=instance,
@@ -141,10 +141,11 @@
         self.announce(self.record.condition)
 
     def handle_ack(self, ack: HeartbeatAck) -> bool:
-        """Process a balancer's response; return whether the target is allowed.
+        """Process a balancer's response to a heartbeat.
 
-        A response under an older configuration than the agent's does not
-        reject the target.
+        Returns:
+            Whether the configuration allows the target to serve its service;
+            ``True`` if the balancer's configuration is older than the agent's.
         """
         self._peers.record_ack(ack, now=_now())
         self._apply_evacuation(ack)
@@ -157,7 +158,7 @@
             self.announce(self.record.condition)
         record = self._peers.record(ack.balancer)
         if ack.version > self.configuration.version and record is not None:
-            self._fetch_from(record)
+            self._start_fetch(record)
         is_current = ack.version and ack.version >= self.configuration.version
         return ack.allowed or not is_current
 
@@ -215,18 +216,18 @@
         announce_backoff = Backoff(
             initial_seconds=MIN_ANNOUNCE_SECONDS, max_seconds=MAX_ANNOUNCE_SECONDS
         )
-        # Read at once: balancers registered earlier are likely to be up again
-        # soon.
+        # The first read is immediate, since balancers that are registered
+        # already will probably be up soon.
         next_read_at = _now()
         while True:
-            if not self._peers.is_cut_off:
+            if not self._peers.is_unacknowledged:
                 read_backoff = read_backoff.after_success()
                 announce_backoff = announce_backoff.after_success()
                 await asyncio.sleep(MIN_FIND_SECONDS * self._draw.uniform(0.5, 1.0))
                 continue
             self._announce_to_candidates()
             if _now() >= next_read_at:
-                self._read_store_soon()
+                self._start_reading_balancers()
                 next_read_at = _now() + read_backoff.wait_seconds(draw=self._draw)
                 read_backoff = read_backoff.after_failure()
             await asyncio.sleep(announce_backoff.wait_seconds(draw=self._draw))
@@ -240,28 +241,28 @@
         for endpoint in sorted(endpoints):
             self._send(self._announcement(), endpoint)
 
-    def _read_store_soon(self) -> None:
-        """Read the store in a separate task, since it may not respond for long."""
+    def _start_reading_balancers(self) -> None:
+        """Read balancers in a separate task, since the store may respond late."""
         if self._read_task is None or self._read_task.done():
-            self._read_task = asyncio.create_task(self._read_store())
+            self._read_task = asyncio.create_task(self._read_balancers())
 
-    async def _read_store(self) -> None:
+    async def _read_balancers(self) -> None:
         try:
             found = await self._store.read(BALANCERS, prefix=True, may_be_stale=True)
         except StoreError as error:
             _log.info("reading balancers from the store failed", reason=str(error))
             return
         for record in registered_balancers(found, codec=self._codec):
-            self._peers.learn(record)
+            self._peers.update_record(record)
 
-    def _fetch_from(self, balancer: BalancerRecord) -> None:
-        """Start to fetch the configuration, unless a fetch is running."""
+    def _start_fetch(self, balancer: BalancerRecord) -> None:
+        """Start to fetch the configuration, unless one is being fetched already."""
         if self._on_configuration is None:
             return
         if self._fetch_task is None or self._fetch_task.done():
-            self._fetch_task = asyncio.create_task(self._fetch(balancer))
+            self._fetch_task = asyncio.create_task(self._fetch_configuration(balancer))
 
-    async def _fetch(self, balancer: BalancerRecord) -> None:
+    async def _fetch_configuration(self, balancer: BalancerRecord) -> None:
         request = ConfigurationRequest(
             newer_than=self.configuration.version, service=self.record.service
         )
--- a/monsoonpier/agent/heartbeat_peers.py
+++ b/monsoonpier/agent/heartbeat_peers.py
@@ -41,7 +41,7 @@
     def __len__(self) -> int:
         return len(self._peers_by_name)
 
-    def learn(self, record: BalancerRecord) -> None:
+    def update_record(self, record: BalancerRecord) -> None:
         """Add a balancer's record, or replace an older one."""
         peer = self._peers_by_name.get(record.name)
         if peer is None:
@@ -66,7 +66,7 @@
         return [self._peers_by_name[name].record for name in names]
 
     def sample(self, count: int, *, draw: random.Random) -> list[BalancerRecord]:
-        """Return up to ``count`` random balancers, also unresponsive ones."""
+        """Return up to ``count`` random balancers, including unresponsive ones."""
         peers = list(self._peers_by_name.values())
         return [peer.record for peer in draw.sample(peers, min(count, len(peers)))]
 
@@ -83,7 +83,7 @@
     def record_ack(self, ack: HeartbeatAck, *, now: float) -> None:
         """Process a balancer's response to a heartbeat or an announcement."""
         for record in ack.balancers:
-            self.learn(record)
+            self.update_record(record)
         peer = self._peers_by_name.get(ack.balancer)
         if peer is None:
             return
@@ -94,7 +94,11 @@
             del self._peers_by_name[ack.balancer]
 
     def next_epoch(self, ack: HeartbeatAck, *, epoch: int) -> int | None:
-        """Return the epoch to use if a balancer has a later one of this agent."""
+        """Return an epoch above the balancer's record of this agent.
+
+        Returns:
+            ``None`` if ``epoch`` is not below the balancer's record.
+        """
         return ack.known_epoch + 1 if ack.known_epoch > epoch else None
 
     def require_announcements(self) -> None:
@@ -103,6 +107,6 @@
             peer.has_record = False
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_unacknowledged(self) -> bool:
         """Whether no balancer has acknowledged the target's record."""
         return not any(peer.has_record for peer in self._peers_by_name.values())
--- a/monsoonpier/agent/packets/admission.py
+++ b/monsoonpier/agent/packets/admission.py
@@ -8,8 +8,9 @@
 offered to these in the order of all waiting flows (see `reservations`).
 
 Between a SYN and its first request the slot is empty for a round trip to the
-caller. Where requests are short, the next SYN is therefore delivered while the
-slot is still taken, so that its handshake passes during the request before.
+caller. While requests are short, the next SYN is therefore delivered while the
+slot is still in use, so that its handshake takes place during the preceding
+request.
 """
 
 from collections import Counter
@@ -163,12 +164,14 @@
         if not self._reservations.reserve(frame, balancer=balancer, now=now):
             self._counts_by_result["not_reserved"] += 1
 
-    def offer_answered(self, frame: ForwardPacket, *, sender: tuple[str, int]) -> None:
-        """Record that a SYN answers an offer, whether or not it is accepted."""
+    def record_offer_answered(
+        self, frame: ForwardPacket, *, sender: tuple[str, int]
+    ) -> None:
+        """Record the answer to an offer, if the SYN is sent in reply to one."""
         if frame.is_offered:
             self._reservations.taken(sender)
 
-    def offer_declined(self, balancer: tuple[str, int]) -> None:
+    def record_offer_declined(self, balancer: tuple[str, int]) -> None:
         """Record that no flow waits any more at a balancer with reservations."""
         self._counts_by_result["declined"] += 1
         self._reservations.declined(balancer)
@@ -218,7 +221,7 @@
         return QUEUE_AHEAD if run_seconds and is_handshake_long else 0
 
     def expire(self, *, now: float) -> list:
-        """Give slots kept for silent callers to waiting flows."""
+        """Free slots kept for callers that did not respond, and admit waiting flows."""
         for address in self._expected.pop_overdue(now=now):
             flow = self._flows_by_address.get(address)
             if flow is None or flow.phase is not Phase.EXPECTED:
@@ -233,11 +236,11 @@
         self._expected.expect(address, now=now)
 
     def record_response_time(self, seconds: float) -> None:
-        """Record how long a caller took to answer the target's first packet."""
+        """Record how long a caller took to respond to the target's first packet."""
         self._expected.record_response_time(seconds)
 
     def reject(self, syn: QueuedSyn, reason: str, *, now: float) -> ToProcess:
-        """Send a SYN back to its balancer, which may try another target."""
+        """Return the frame that rejects a SYN; its balancer may try another target."""
         self._counts_by_result["turned"] += 1
         self._log.note(
             "flow rejected",
@@ -277,7 +280,7 @@
 
     @property
     def _closed_reason(self) -> str | None:
-        """Why no new flow is accepted at all; ``None`` if some may be."""
+        """Why no new flow is accepted; ``None`` if new flows may be accepted."""
         if self.condition is not Condition.SERVING:
             return self.condition.name.lower()
         return EVACUATED if self.is_evacuated else None
@@ -308,7 +311,7 @@
         sender: tuple[str, int],
         now: float,
     ) -> list:
-        """Queue a SYN and reject the one that there is no room left for."""
+        """Queue a SYN; reject the last SYN of the queue if the queue is too long."""
         displaced = self._queue.add(
             frame,
             packet,
--- a/monsoonpier/agent/packets/cold_start.py
+++ b/monsoonpier/agent/packets/cold_start.py
@@ -31,7 +31,7 @@
 
         Args:
             now: The present time.
-            pending: Flows that were promised a slot and have not arrived yet.
+            pending: Flows that were offered a slot and have not arrived yet.
         """
         if not self.per_second or now >= self.until:
             return True
--- a/monsoonpier/agent/packets/expected_packets.py
+++ b/monsoonpier/agent/packets/expected_packets.py
@@ -39,7 +39,7 @@
         return self._mean_seconds or 0.0
 
     def record_response_time(self, seconds: float) -> None:
-        """Update the timeout with the time a caller took to answer the target."""
+        """Update the timeout with the time a caller took to respond to the target."""
         if self._mean_seconds is None:
             self._mean_seconds = seconds
             self._deviation_seconds = seconds / 2
--- a/monsoonpier/agent/packets/flows.py
+++ b/monsoonpier/agent/packets/flows.py
@@ -22,13 +22,13 @@
 
     Attributes:
         caller_ip: The caller's address, where resets are sent.
-        balancer: The balancer that sent the last packet that needs a reply.
+        balancer: The address of the balancer to send replies to.
         seen_at: When the last packet of the flow passed.
         phase_began_at: When the current phase began.
-        acknowledged: The caller's last acknowledgement number. A reset must be
-            near it.
+        acknowledged: The caller's last acknowledgement number, from which a
+            reset gets its sequence number.
         caller_end: The sequence number after the caller's last data.
-        tried: Targets that the flow's SYN was sent to.
+        tried: The names of the targets that the flow's SYN was sent to.
         target_sequence: The target's initial sequence number; ``None`` before
             its answer.
         is_open: Whether the caller has acknowledged this target's answer to
@@ -38,11 +38,11 @@
             agent saw the flow open.
         phase: Whether the flow uses a slot.
         balancer_keeps_packet: Whether the balancer that sent the probe packet
-            keeps it too.
+            has buffered it, so that a reply can omit it.
         run_began_at: When the target began to work on the flow's request;
             ``None`` while the request waits at the target.
-        is_overdue: Whether the request was counted as failed since its answer
-            is late.
+        is_overdue: Whether the request was counted as failed because its
+            answer is late.
         kept_seconds_at_start: `SlotUse.kept_seconds_per_flow` when the flow's
             first request became expected.
         has_caller_fin: Whether the caller has closed its direction.
--- a/monsoonpier/agent/packets/instance_history.py
+++ b/monsoonpier/agent/packets/instance_history.py
@@ -1,8 +1,8 @@
-"""Tells a target's current instance from earlier ones by their heartbeats.
+"""Distinguishes a target's current instance from earlier ones by their heartbeats.
 
-A target may restart under the same identity, with sequence numbers that start
-again. Delayed messages of the earlier instance must not replace the newer one,
-and the first heartbeats of the newer one must not be taken for stale ones.
+A target may restart under the same identity, and its sequence numbers then
+start again. Delayed messages of the earlier instance must not replace the
+newer one, and the first heartbeats of the newer one must not count as stale.
 """
 
 from collections import deque
@@ -27,12 +27,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CurrentHeartbeat:
-    """A new heartbeat of the current instance."""
+    """A heartbeat of the current instance that is not stale."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StaleHeartbeat:
-    """A heartbeat to ignore: outdated, or of an unconfirmed instance."""
+    """A heartbeat to ignore: an outdated one, or one of an unconfirmed instance."""
 
 
 class InstanceHistory:
@@ -62,9 +62,7 @@
             return self._classify_current(heartbeat)
         if heartbeat.run in self._previous:
             return StaleHeartbeat()
-        if not (
-            has_ended or self._is_newer(heartbeat.run) or self._is_confirmed(heartbeat)
-        ):
+        if not (has_ended or self._is_newer(heartbeat.run) or self._confirm(heartbeat)):
             return StaleHeartbeat()
         if self._current is not None:
             self._previous.append(self._current)
@@ -89,10 +87,10 @@
             return True
         return instance.born_ms is not None and instance.born_ms > current.born_ms
 
-    def _is_confirmed(self, heartbeat: TargetHeartbeat) -> bool:
-        """Return whether an older-looking instance has sent several heartbeats.
+    def _confirm(self, heartbeat: TargetHeartbeat) -> bool:
+        """Count a heartbeat of an unconfirmed instance; return whether it confirms it.
 
-        Heartbeats of any other instance in between start the count again.
+        The count starts again when a heartbeat of another instance arrives.
         """
         if heartbeat.run != self._unconfirmed:
             self._clear_unconfirmed()
--- a/monsoonpier/agent/packets/instance_state.py
+++ b/monsoonpier/agent/packets/instance_state.py
@@ -1,8 +1,8 @@
 """What an agent knows of its target's current instance and its flows.
 
-An agent that saw the instance start knows all of its flows. One that started
-beside a running target does not. One that has found no listening target for
-`ABSENT_SECONDS` knows that there are no flows.
+An agent that saw the instance start knows all of its flows. An agent that
+started after its target does not. An agent that has found no listening target
+for `ABSENT_SECONDS` knows that there are no flows.
 """
 
 from monsoonpier.model.target import ABSENT_SECONDS
@@ -52,7 +52,11 @@
         self._started_at = now if is_first or is_young else None
 
     def start(self, instance: bytes, *, now: float) -> None:
-        """Record that an instance starts, or that one ended with no successor."""
+        """Record that an instance starts without any flow.
+
+        Also called for the current instance when it ends, since it then owns
+        no flow either.
+        """
         self.instance = instance
         self.knows_all_flows = True
         self._started_at = now
@@ -62,12 +66,12 @@
         is_new = self._no_listener_since is None
         if self._no_listener_since is None:
             self._no_listener_since = now
-        # By then a target that stopped listening because it leaves has ended,
-        # and one that starts would have sent a heartbeat.
+        # After that time, a target that stopped listening in order to leave has
+        # ended, and a starting one would have sent a heartbeat.
         self.knows_all_flows = now - self._no_listener_since >= ABSENT_SECONDS
         return is_new
 
-    def run_ms(self, *, now: float) -> int | None:
+    def age_ms(self, *, now: float) -> int | None:
         """Return the instance's age in milliseconds, or ``None`` if unknown."""
         if self._started_at is None:
             return None
--- a/monsoonpier/agent/packets/liveness.py
+++ b/monsoonpier/agent/packets/liveness.py
@@ -20,12 +20,13 @@
 
     ``on_up`` is called at the first connection, and at the first one after
     ``on_gone``. ``on_gone`` is called when connections are refused after the
-    target was up, ``on_absent`` at each further refusal and if the target was
-    never up.
+    target was up. ``on_absent`` is called at each refusal after that, and at
+    each refusal if the target was never up.
 
-    The connection of a target that ends closes at once, long before heartbeats
-    are missed. A closed connection alone is no proof, since targets close idle
-    ones too; only a refused connection shows that nothing listens.
+    When a target ends, its connection closes at once, long before a heartbeat
+    is missed. A closed connection alone doesn't show that the target has
+    ended, since targets close idle connections too. Only a refused connection
+    shows that nothing listens.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         self._refusals = 0
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Keep and renew the connection until cancelled."""
         while True:
             await self._watch_once()
             await asyncio.sleep(RETRY_SECONDS)
@@ -55,7 +56,7 @@
                 asyncio.open_connection(*self._address.endpoint), CONNECT_SECONDS
             )
         except ConnectionRefusedError:
-            self._refused()
+            self._handle_refusal()
             return
         except (TimeoutError, OSError) as error:
             _log.info("connecting to the target failed", reason=repr(error))
@@ -71,7 +72,7 @@
         finally:
             writer.close()
 
-    def _refused(self) -> None:
+    def _handle_refusal(self) -> None:
         self._refusals += 1
         if self._refusals < REFUSALS_NEEDED:
             return
--- a/monsoonpier/agent/packets/load.py
+++ b/monsoonpier/agent/packets/load.py
@@ -1,4 +1,4 @@
-"""An agent's account of its target's load, and the load reports made from it."""
+"""Counts the load of an agent's target and builds load reports."""
 
 import math
 from typing import NamedTuple
@@ -31,7 +31,7 @@
     queued_in_time: int
 
     def is_near(self, other: "LoadLevel") -> bool:
-        """Return whether a balancer would place flows alike by either level."""
+        """Return whether the levels are too similar to affect placement."""
         return (
             self.is_full == other.is_full
             and self.queued == other.queued
@@ -56,7 +56,7 @@
         reservations: Slots that balancers have reserved for flows that wait
             there.
         cold: The limit of new flows while the target is cold.
-        use: How the slots spend their time.
+        use: The accounting of slot time: busy, idle, or kept for a caller.
     """
 
     def __init__(self, *, slots: int) -> None:
@@ -73,7 +73,7 @@
         self._runs = RunTimes()
         self._failures = FailureRate()
         self._busy_share = 0.0
-        self._share_at = 0.0
+        self._busy_share_at = 0.0
         self.answer_seconds = Histogram(
             name="answer_seconds",
             help="Seconds from a request's first packet to its answer.",
@@ -97,7 +97,7 @@
 
     def busy_share(self, *, now: float) -> float:
         """Return the smoothed share of slots in use, 1.0 at most."""
-        passed = max(0.0, now - self._share_at)
+        passed = max(0.0, now - self._busy_share_at)
         decay = math.exp(-passed / BUSY_SHARE_SECONDS)
         taken = min(1.0, self.busy / self.slots)
         return taken + (self._busy_share - taken) * decay
@@ -107,8 +107,8 @@
         return self.failed_percent(now=now) // FAILED_STEP
 
     def change_phase(self, flow: PacketFlow, phase: Phase, *, now: float) -> None:
-        """Move a flow to a phase; count its caller as silent if it was expected."""
-        # A flow that was expected for no time has kept no slot.
+        """Set a flow's phase; count its caller as silent if no packet came."""
+        # A flow that was expected for no time has not kept a slot.
         is_abandoned = flow.phase is Phase.EXPECTED and phase is Phase.IDLE
         if is_abandoned and now > flow.phase_began_at:
             kept = self.use.kept_seconds_per_flow(now=now) - flow.kept_seconds_at_start
@@ -116,13 +116,13 @@
         self._set_phase(flow, phase, now=now)
 
     def _set_phase(self, flow: PacketFlow, phase: Phase, *, now: float) -> None:
-        """Move a flow to a phase and update the counts."""
+        """Set a flow's phase and update the counts."""
         if phase is Phase.EXPECTED and flow.phase is not Phase.EXPECTED:
             flow.kept_seconds_at_start = self.use.kept_seconds_per_flow(now=now)
         if flow.phase is Phase.RUNNING:
             self._runs.request_aborted(flow, now=now)  # no effect after an answer
         self._busy_share = self.busy_share(now=now)
-        self._share_at = now
+        self._busy_share_at = now
         self.busy += int(phase is not Phase.IDLE) - int(flow.phase is not Phase.IDLE)
         self._running += int(phase is Phase.RUNNING)
         self._running -= int(flow.phase is Phase.RUNNING)
@@ -142,16 +142,16 @@
     def request_answered(
         self, flow: PacketFlow, *, is_failure: bool, now: float
     ) -> None:
-        """Count the flow's request as done, and record its duration."""
+        """Record the answer to a flow's request, and how long the request took."""
         if flow.phase is Phase.RUNNING:
             seconds = now - flow.phase_began_at
             self.answer_seconds.observe(seconds)
             self._failures.count(is_failure=is_failure, now=now)
             self._runs.request_answered(flow, is_failure=is_failure, now=now)
-            self._note_run_ended(now=now)
+            self._record_run_end(now=now)
         self._set_phase(flow, Phase.IDLE, now=now)
 
-    def _note_run_ended(self, *, now: float) -> None:
+    def _record_run_end(self, *, now: float) -> None:
         """Record a run's end in the use of slots."""
         is_expecting = self.busy > self._running
         self.use.run_ended(
@@ -161,7 +161,7 @@
         )
 
     def request_aborted(self, flow: PacketFlow, *, now: float) -> None:
-        """Count a request that gets no answer as failed."""
+        """Count the flow's request as failed, since no answer will come."""
         if flow.phase is Phase.RUNNING:
             self._failures.count(is_failure=True, now=now)
             self.change_phase(flow, Phase.IDLE, now=now)
@@ -199,7 +199,7 @@
         return len(self.queue) + len(self.reservations)
 
     def observe_slot_use(self, *, is_serving: bool, now: float) -> None:
-        """Account the time of the slots up to now, if their state has changed.
+        """Account for the slots' time up to now, if their state has changed.
 
         Args:
             is_serving: Whether the target takes new flows; otherwise empty
@@ -237,7 +237,7 @@
         return present | self.use.total.fields
 
     @property
-    def readings(self) -> tuple[Metric, ...]:
+    def metrics(self) -> tuple[Metric, ...]:
         """The metrics of slots and of the flows that wait for them."""
         queued_by_class = {("in_time",): self.queue.timely, ("late",): self.queue.late}
         return (
@@ -250,7 +250,7 @@
                 values_by_labels=queued_by_class,
             ),
             gauge("reserved", "Slots that balancers reserve.", len(self.reservations)),
-            *self.use.readings,
+            *self.use.metrics,
         )
 
     def set_cold_until(self, until: float) -> None:
@@ -260,7 +260,7 @@
     @property
     def run_seconds(self) -> float:
         """The smoothed service time of a run; 0 before the first was timed."""
-        return self._runs.run_ms / 1000
+        return self._runs.service_ms / 1000
 
     def report(self, *, condition: Condition, now: float) -> LoadReport:
         """Return the present load under a new, higher number."""
@@ -276,7 +276,7 @@
             queued=self.queue.timely,
             queued_late=self.queue.late,
             flows=self.open,
-            service_ms=round(self._runs.run_ms),
+            service_ms=round(self._runs.service_ms),
             cold_ms=max(0, round((self.cold.until - now) * 1000)),
             condition=condition,
             failed_percent=self.failed_percent(now=now),
--- a/monsoonpier/agent/packets/load_reports.py
+++ b/monsoonpier/agent/packets/load_reports.py
@@ -1,10 +1,11 @@
-"""Decides which balancers get a load report between their new flows, and when.
+"""Decides which balancers receive a load report, and when.
 
 Every request takes a slot and frees it, so reporting each change to each
-balancer would be most of the control traffic. A balancer is sent only what it
-doesn't know yet, the most recent senders of SYNs first, and within a budget
-that grows with the use of the slots: the load of a target matters little while
-most targets are idle.
+balancer would be most of the control traffic. A balancer receives a report
+only if the load differs from the last one reported to it. Reports go to the
+balancers with the most recent SYNs first, within a budget that grows with the
+use of the slots, since a target's load matters little while most targets are
+idle.
 """
 
 from dataclasses import dataclass
@@ -17,8 +18,8 @@
 
 __all__ = ["LoadReports"]
 
-# How long after a balancer's last SYN it gets reports of changes of load, and
-# of changes of the failure rate.
+# For how long after its last SYN a balancer receives reports of changed load,
+# and of a changed failure rate.
 LOAD_REPORT_SECONDS = 3.0
 FAILURE_REPORT_SECONDS = 60.0
 MAX_REPORTS_PER_SECOND = 140  # while all slots are in use
@@ -27,14 +28,14 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Reported:
+class _ReportedState:
     """The state that was last reported to a balancer."""
 
     level: LoadLevel
     failure_level: int
     condition: Condition
 
-    def is_near(self, other: "_Reported") -> bool:
+    def is_near(self, other: "_ReportedState") -> bool:
         return (
             self.level.is_near(other.level)
             and self.failure_level == other.failure_level
@@ -44,10 +45,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Receiver:
-    """A balancer that gets reports."""
+    """A balancer that receives load reports."""
 
     last_placed_at: float
-    known: _Reported | None = None
+    last_reported: _ReportedState | None = None
 
 
 class LoadReports:
@@ -58,7 +59,7 @@
         self._log = log
         self._receivers_by_endpoint: dict[tuple[str, int], _Receiver] = {}
         self._failure_level = 0
-        self._last_state: _Reported | None = None
+        self._last_state: _ReportedState | None = None
         self._budget = float(MAX_REPORTS_AT_ONCE)
         self._budget_at = 0.0
 
@@ -76,10 +77,10 @@
         """Record that another frame has reported the present load to a balancer."""
         receiver = self._receivers_by_endpoint.get(balancer)
         if receiver is not None:
-            receiver.known = self._present(condition, now=now)
+            receiver.last_reported = self._present(condition, now=now)
 
-    def due(self, *, condition: Condition, now: float) -> list[ToProcess]:
-        """Return the reports to send now."""
+    def pop_due(self, *, condition: Condition, now: float) -> list[ToProcess]:
+        """Return the reports to send now, and record them as sent."""
         present = self._present(condition, now=now)
         self._last_state = present
         if present.failure_level != self._failure_level:
@@ -95,17 +96,17 @@
         frame = LoadUpdate(load=self._load.report(condition=condition, now=now))
         return [ToProcess(endpoint=endpoint, frame=frame) for endpoint in due]
 
-    def forget_idle(self, *, now: float) -> None:
-        """Forget balancers that have sent no new flow for long."""
+    def remove_idle(self, *, now: float) -> None:
+        """Remove balancers that have sent no new flow for `FAILURE_REPORT_SECONDS`."""
         self._receivers_by_endpoint = {
             endpoint: receiver
             for endpoint, receiver in self._receivers_by_endpoint.items()
             if now - receiver.last_placed_at < FAILURE_REPORT_SECONDS
         }
 
-    def _present(self, condition: Condition, *, now: float) -> _Reported:
+    def _present(self, condition: Condition, *, now: float) -> _ReportedState:
         """Return the present state."""
-        present = _Reported(
+        present = _ReportedState(
             level=self._load.level,
             failure_level=self._load.failure_level(now=now),
             condition=condition,
@@ -114,23 +115,25 @@
         # compare most receivers by identity.
         return self._last_state if present == self._last_state else present
 
-    def _is_due(self, receiver: _Receiver, present: _Reported, *, now: float) -> bool:
+    def _is_due(
+        self, receiver: _Receiver, present: _ReportedState, *, now: float
+    ) -> bool:
         """Return whether the present state must be reported to a balancer."""
-        known = receiver.known
-        if known is present or (known is not None and known.is_near(present)):
+        reported = receiver.last_reported
+        if reported is present or (reported is not None and reported.is_near(present)):
             return False
         age = now - receiver.last_placed_at
-        has_failures_changed = known is None or (
-            known.failure_level != present.failure_level
+        has_failures_changed = reported is None or (
+            reported.failure_level != present.failure_level
         )
         return age < (
             FAILURE_REPORT_SECONDS if has_failures_changed else LOAD_REPORT_SECONDS
         )
 
     def _within_budget(
-        self, due: list[tuple[str, int]], present: _Reported, *, now: float
+        self, due: list[tuple[str, int]], present: _ReportedState, *, now: float
     ) -> list[tuple[str, int]]:
-        """Return the balancers to notify now; the others remain due."""
+        """Return the balancers that the budget allows to notify; the rest stay due."""
         rate = MAX_REPORTS_PER_SECOND * self._load.busy_share(now=now)
         earned = (now - self._budget_at) * max(MIN_REPORTS_PER_SECOND, rate)
         self._budget = min(MAX_REPORTS_AT_ONCE, self._budget + earned)
@@ -140,7 +143,7 @@
         notified = due[: int(self._budget)]
         self._budget -= len(notified)
         for endpoint in notified:
-            receivers[endpoint].known = present
+            receivers[endpoint].last_reported = present
         return notified
 
     def _log_failure_change(self, level: int, *, now: float) -> None:
--- a/monsoonpier/agent/packets/messages.py
+++ b/monsoonpier/agent/packets/messages.py
@@ -51,6 +51,6 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaveNotice:
-    """A leave message: the target is about to end."""
+    """A leave notice: the target is about to end."""
 
     run: TargetInstance
--- a/monsoonpier/agent/packets/owner.py
+++ b/monsoonpier/agent/packets/owner.py
@@ -1,12 +1,12 @@
-"""Packet logic of an agent: what reaches its target, and who owns a flow.
+"""Packet logic of an agent: delivers packets and tracks the flows its target owns.
 
-All packets of the target pass the agent in both directions, so the agent knows
+All packets to and from the target pass through the agent, so the agent knows
 which flows the target owns and how many requests are in flight. It delivers
-packets of these flows and SYNs that it accepts, so that a packet never reaches
-a target that doesn't own its flow, whatever balancers believe. An agent that
-started beside a running target doesn't know all flows; it delivers a packet of
-an unknown flow once, as a probe, and the target's answer shows whether the
-target owns the flow.
+only packets of these flows and SYNs that it accepts, so that a packet doesn't
+reach a target that doesn't own its flow, even if a balancer has a wrong record
+of the owner. An agent that started after its target doesn't know all flows. It
+delivers a packet of an unknown flow once, as a probe, and the target's answer
+shows whether the target owns the flow.
 """
 
 from collections import Counter, deque
@@ -48,7 +48,7 @@
 MAX_SILENT_SECONDS = 1.0  # without a packet, until a request counts as failed
 MAX_RUN_SECONDS = 2.5  # until an unanswered request no longer takes a slot
 MAX_OPENING_BYTES = 19_201  # from the target, before the caller's first packet
-MAX_STREAM_BYTES = 1 << 26  # sequence numbers farther ahead are taken as behind
+MAX_STREAM_BYTES = 1 << 26  # sequence numbers farther ahead count as behind
 MAX_SERVED_ADDRESSES = 64
 # How long queries wait for the target's first heartbeat after the agent's
 # start. A target that gets no response repeats its heartbeat every 100 ms.
@@ -143,8 +143,8 @@
         )
 
     @property
-    def has_no_target(self) -> bool:
-        """Whether the target has been absent for so long that none is left."""
+    def is_absence_certain(self) -> bool:
+        """Whether nothing has listened for so long that no target can be running."""
         return self.is_absent and self._target_state.knows_all_flows
 
     def instance_started(
@@ -171,8 +171,9 @@
     def note_no_listener(self, *, now: float) -> None:
         """Record that nothing listens at the target's address.
 
-        This is ignored after a heartbeat. A VM may run without a target: one
-        whose target has left starts again like others after a loss of power.
+        Does nothing if the target has sent a heartbeat. A VM may run without a
+        target, since one whose target has left is restarted like others after
+        a power loss.
         """
         if not self._target_state.instance and self._target_state.note_no_listener(
             now=now
@@ -180,10 +181,10 @@
             self._log.note("no target is listening", now=now)
 
     def target_ended(self, *, now: float) -> list:
-        """Return resets for the open flows, since the target has ended.
+        """Remove all flows of a target that has ended; return resets for the open ones.
 
-        Flows that are not open here may have been opened at another target, so
-        they are not reset.
+        A flow that is not open here may have been opened at another target, so
+        it is not reset.
         """
         resets = [
             ResetFlow(ip=flow.caller_ip, flow=address, acknowledged=flow.acknowledged)
@@ -203,37 +204,42 @@
 
     def load_reports(self, *, now: float) -> list[ToProcess]:
         """Return the load reports that balancers must be sent now."""
-        return self._reports.due(condition=self._admission.announced_condition, now=now)
+        return self._reports.pop_due(
+            condition=self._admission.announced_condition, now=now
+        )
 
     # Packets of callers
 
-    def ask(
+    def handle_query(
         self, query: OwnershipQuery, *, sender: tuple[str, int], now: float
     ) -> list[ToProcess]:
-        """Answer a balancer's query for owners now, or once the target is known."""
+        """Reply to a balancer's ownership query, at once if the target is known.
+
+        Otherwise the query is queued for `reply_to_pending_queries`.
+        """
         if self._target_state.instance or self._target_state.knows_all_flows:
-            return [ToProcess(endpoint=sender, frame=self.answer(query, now=now))]
+            return [ToProcess(endpoint=sender, frame=self.query_reply(query, now=now))]
         if not self._pending_queries:
             self._first_query_at = now
         self._pending_queries.append((sender, query))
         return []
 
-    def answer_pending(self, *, now: float) -> list[ToProcess]:
-        """Answer the pending queries once the target is known or takes too long."""
+    def reply_to_pending_queries(self, *, now: float) -> list[ToProcess]:
+        """Reply to the queued queries if the target is known or the wait is over."""
         if (
             not self._target_state.instance
             and now - self._first_query_at < MAX_QUERY_WAIT_SECONDS
         ):
             return []
         replies = [
-            ToProcess(endpoint=sender, frame=self.answer(query, now=now))
+            ToProcess(endpoint=sender, frame=self.query_reply(query, now=now))
             for sender, query in self._pending_queries
         ]
         self._pending_queries.clear()
         return replies
 
-    def answer(self, query: OwnershipQuery, *, now: float) -> OwnershipReply:
-        """Return which of the queried flows the target owns."""
+    def query_reply(self, query: OwnershipQuery, *, now: float) -> OwnershipReply:
+        """Return the reply that lists which of the queried flows the target owns."""
         owned = tuple(flow for flow in query.flows if self._owns(flow))
         # The target never owns flows of another service.
         is_conclusive = (
@@ -246,7 +252,7 @@
             agent=self._name,
             held=owned,
             is_conclusive=is_conclusive,
-            run_ms=self._target_state.run_ms(now=now),
+            run_ms=self._target_state.age_ms(now=now),
             is_absent=self.is_absent,
         )
 
@@ -261,8 +267,8 @@
         if flow is None:
             return False
         # A flow whose SYN was answered may open with the packet that the query
-        # is about. If it opened at another target, its acknowledgement shows
-        # that.
+        # is about. If the flow was opened at another target instead, the
+        # packet's acknowledgement number shows that.
         return flow.is_open or flow.target_sequence is not None
 
     def from_balancer(
@@ -287,8 +293,8 @@
         return self._update_accounting(self._admission.admit_queued(now=now), now=now)
 
     def declined(self, *, balancer: tuple[str, int], now: float) -> list:
-        """Offer a declined slot to another balancer."""
-        self._admission.offer_declined(balancer)
+        """Remove the reservations of a balancer that declined; offer the slot again."""
+        self._admission.record_offer_declined(balancer)
         return self._update_accounting(self._admission.admit_queued(now=now), now=now)
 
     def _update_accounting(self, actions: list, *, now: float) -> list:
@@ -316,7 +322,7 @@
         """Return the actions for a caller's packet."""
         flow = self._flows_by_address.get(packet.flow)
         if packet.is_syn:
-            self._admission.offer_answered(frame, sender=sender)
+            self._admission.record_offer_answered(frame, sender=sender)
             self._reports.record_placement(sender, now=now)
             return self._handle_syn(frame, packet, flow, sender=sender, now=now)
         if flow is None:
@@ -339,7 +345,7 @@
     ) -> list[ToProcess]:
         """Return frames that relay a packet to other agents.
 
-        Those agents reply to the balancer that sent it.
+        The agents reply directly to the balancer that sent the packet.
         """
         self.counts_by_result["passed_on"] += len(frame.endpoints)
         carry = ForwardPacket(
@@ -359,7 +365,7 @@
         sender: tuple[str, int],
         now: float,
     ) -> list:
-        """Deliver a retransmitted SYN; leave the decision on others to admission."""
+        """Deliver a retransmitted SYN; let `FlowAdmission` decide on other SYNs."""
         if flow is not None and not flow.is_ended:
             flow.balancer = sender
             return [ToTarget(raw=packet.raw)]
@@ -374,7 +380,10 @@
         sender: tuple[str, int],
         now: float,
     ) -> list:
-        """Decide by its acknowledgement whether the flow opened here."""
+        """Handle the packet that completes a handshake, with this target or another.
+
+        Its acknowledgement number shows with which target the flow was opened.
+        """
         first = flow.target_sequence
         if first is None or not packet.is_ack:
             return self._not_owned_reply(
@@ -405,8 +414,8 @@
         if packet.size and _is_new_data(packet, flow):
             flow.caller_end = packet.sequence + packet.size
             # The FIN of a caller that has given up may overtake its request.
-            # The target then closes without a run, and no answer would free
-            # the slot.
+            # The target then closes the flow without running the request, so
+            # no answer would free the slot.
             if not flow.has_caller_fin:
                 self.target_load.request_started(flow, now=now)
         if packet.is_fin:
@@ -424,7 +433,7 @@
         sender: tuple[str, int],
         now: float,
     ) -> list:
-        """Probe an unknown flow at the target, if it may own the flow."""
+        """Deliver a packet of an unknown flow as a probe if the target may own it."""
         may_be_owned = frame.service == self._service or (
             packet.service_address in self._served_addresses
         )
@@ -468,7 +477,7 @@
         if flow is None:
             if packet.is_syn:
                 return actions
-            flow = self._adopt(packet, now=now)
+            flow = self._record_earlier_flow(packet, now=now)
         flow.seen_at = now
         if packet.is_syn:
             if flow.target_sequence is None:
@@ -503,8 +512,8 @@
         """Forward a reset only if the target is known to own the flow.
 
         A target that has just started resets flows that it doesn't know. Such
-        a flow may be open at another target, and its caller must not get this
-        reset.
+        a flow may be open at another target, so its caller must not receive
+        the reset.
         """
         if flow is None:
             self.counts_by_result["foreign_reset"] += 1
@@ -520,8 +529,8 @@
             )
         return [_to_caller(packet)]
 
-    def _adopt(self, packet: Packet, *, now: float) -> PacketFlow:
-        """Record an open flow from before this agent's start."""
+    def _record_earlier_flow(self, packet: Packet, *, now: float) -> PacketFlow:
+        """Record a flow that was opened before this agent started."""
         flow = PacketFlow(
             caller_ip=packet.caller_ip,
             balancer=("", 0),
@@ -563,7 +572,7 @@
                 self._check_run_timeout(flow, now=now)
             if now - flow.seen_at > _timeout_seconds(flow):
                 self._remove(address, now=now)
-        self._reports.forget_idle(now=now)
+        self._reports.remove_idle(now=now)
         self._log_slot_use(now=now)
         return self.expire(now=now)
 
@@ -581,11 +590,11 @@
         return self._admission.is_waiting
 
     def expire(self, *, now: float) -> list:
-        """Give slots replies for silent callers to waiting flows."""
+        """Free slots kept for callers that did not respond, and admit waiting flows."""
         return self._update_accounting(self._admission.expire(now=now), now=now)
 
     def _check_run_timeout(self, flow: PacketFlow, *, now: float) -> None:
-        """Count a run without an answer as failed, and free its slot later."""
+        """Count a request without an answer as failed, and later free its slot."""
         if now - flow.seen_at > MAX_SILENT_SECONDS:
             self.target_load.mark_overdue(flow, now=now)
         if now - flow.phase_began_at > MAX_RUN_SECONDS:
@@ -594,7 +603,7 @@
     # Helpers
 
     def _remove(self, address: bytes, *, now: float) -> None:
-        """Remove a flow, if it is known."""
+        """Remove a flow, if there is a record of it."""
         flow = self._flows_by_address.pop(address, None)
         if flow is None:
             return
@@ -625,7 +634,7 @@
             knows_all=self._target_state.knows_all_flows,
         )
         if not sender[1]:
-            return []  # No balancer sent it: the flow was learned from the target.
+            return []  # Only the target has sent packets of this flow so far.
         payload = b"" if omit_payload else packet.raw
         frame = FlowNotOwned(agent=self._name, flow=packet.flow, payload=payload)
         return [ToProcess(endpoint=sender, frame=frame)]
@@ -636,9 +645,9 @@
 
 
 def _is_new_data(packet: Packet, flow: PacketFlow) -> bool:
-    """Return whether a packet has data that is no retransmission.
+    """Return whether a packet has data that was not received before.
 
-    A retransmission may follow the answer to its request.
+    A retransmission may arrive after its request has been answered.
     """
     if flow.caller_end is None:
         return True
@@ -649,7 +658,7 @@
 def _closes_without_answer(packet: Packet, flow: PacketFlow) -> bool:
     """Return whether a target's FIN closes a flow on which it has sent no data.
 
-    The sequence number shows it, also if the FIN overtakes the answer.
+    The FIN's sequence number shows this, even if the FIN overtakes an answer.
     """
     if flow.target_sequence is None or packet.size:
         return False
--- a/monsoonpier/agent/packets/process.py
+++ b/monsoonpier/agent/packets/process.py
@@ -94,7 +94,7 @@
         self._packet_codec = codec
         self._store = store
         self._draw = random.Random()
-        self._life = ProcessLifecycle()
+        self._lifecycle = ProcessLifecycle()
         self._started = time.monotonic()
         self._frame_codec = FrameCodec(keys=settings.keys)
         self._sender = LinkSender(bits_per_second=settings.link_bits_per_second)
@@ -117,9 +117,9 @@
         )
         self._liveness = TargetLiveness(
             address=target,
-            on_up=self._target_up,
-            on_gone=self._target_gone,
-            on_absent=self._target_absent,
+            on_up=self._on_target_up,
+            on_gone=self._on_target_gone,
+            on_absent=self._on_target_absent,
         )
         self._control = ControlServer(
             address=settings.control, keys=settings.keys, handler=self._answer_control
@@ -142,7 +142,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether the agent serves its target."""
-        return self._life.is_ready
+        return self._lifecycle.is_ready
 
     async def run(self) -> None:
         """Serve until the process is shut down and requests in flight are done.
@@ -159,7 +159,7 @@
         )
         self._control.start()
         await self._web.start()
-        self._life.install_signals()
+        self._lifecycle.install_signals()
         _log.info("started", target=str(self._target))
         tasks = (
             self._control.run,
@@ -176,8 +176,8 @@
         _log.info("stopped", **self._owner.target_load.use.total.fields)
 
     async def _shut_down(self) -> None:
-        """Announce the target's condition, then wait for requests in flight."""
-        await self._life.wait_for_shutdown()
+        """Once asked to shut down, announce it and wait for requests in flight."""
+        await self._lifecycle.wait_for_shutdown()
         began = _now()
         if self._has_target_left:
             # The target has left, and agents are stopped only after it has
@@ -192,7 +192,7 @@
             self._set_condition(Condition.SHEDDING)
         while self._owner.busy and _now() - began < MAX_SHUTDOWN_SECONDS:
             await asyncio.sleep(0.02)
-        self._life.step("finished")
+        self._lifecycle.step("finished")
 
     async def _announce_gone(self) -> None:
         """Announce, several times, that the target is gone."""
@@ -202,19 +202,19 @@
             self._link.announce(Condition.GONE)
 
     async def _wait_until_absent(self) -> bool:
-        """Wait until a target is found or counts as absent; return the latter.
+        """Wait until a target is found or counts as absent; return if it is absent.
 
-        A VM whose target has left starts again like others after a loss of
-        power, and is stopped soon after. Balancers that still have a record of
-        its agent wait for its reply about each flow that it may own, until the
-        agent announces its target as gone.
+        After a power loss, a VM whose target has left is restarted like others
+        and soon stopped again. Balancers with a record of its agent wait for
+        the agent's reply about each flow that the target may own, until the
+        agent announces the target as gone.
         """
         until = _now() + MAX_ABSENT_SECONDS
-        while not (self._owner.has_seen_target or self._owner.has_no_target):
+        while not (self._owner.has_seen_target or self._owner.is_absence_certain):
             if _now() > until:
                 break  # The address no longer answers at all.
             await asyncio.sleep(ABSENT_CHECK_SECONDS)
-        return self._owner.has_no_target
+        return self._owner.is_absence_certain
 
     # Messages and liveness of the target
 
@@ -228,7 +228,7 @@
         return False
 
     def _handle_heartbeat(self, heartbeat: TargetHeartbeat) -> bool:
-        """Apply a heartbeat unless it is stale; return that it is acknowledged."""
+        """Apply a heartbeat unless it is stale; return ``True`` to acknowledge it."""
         owner = self._owner
         match self._instances.classify(heartbeat, has_ended=self._has_target_ended):
             case StaleHeartbeat():
@@ -246,12 +246,12 @@
                 is_new = False
         owner.target_load.slots = heartbeat.slots
         owner.target_load.set_cold_until(_now() + heartbeat.cold_seconds)
-        self._life.step("configured")
+        self._lifecycle.step("configured")
         may_be_delayed = _now() - self._gone_at < MAX_HEARTBEAT_DELAY_SECONDS
         if not is_new and may_be_delayed and owner.condition is Condition.UNRESPONSIVE:
             return True  # Probably sent before the target ended.
         condition = Condition.LEAVING if heartbeat.is_draining else Condition.SERVING
-        if self._life.state == "leaving" and not heartbeat.is_draining:
+        if self._lifecycle.state == "leaving" and not heartbeat.is_draining:
             condition = Condition.SHEDDING
         self._set_condition(condition, announce=is_new)
         return True
@@ -261,7 +261,7 @@
         return self._has_target_left or self._owner.condition is Condition.UNRESPONSIVE
 
     def _begin_instance(self, heartbeat: TargetHeartbeat) -> None:
-        """Serve a new instance of the target and reset flows of the last one."""
+        """Serve a new instance of the target and reset the previous one's flows."""
         instance = heartbeat.run.instance
         _log.info(
             "target started",
@@ -279,10 +279,14 @@
             now=_now(),
         )
         self._perform(resets)
-        self._perform(self._owner.answer_pending(now=_now()))
+        self._perform(self._owner.reply_to_pending_queries(now=_now()))
 
     def _handle_leave(self, notice: LeaveNotice) -> bool:
-        """Stop taking new flows if the current instance of the target leaves."""
+        """Stop accepting new flows if the current instance of the target leaves.
+
+        Returns:
+            ``True``, since even a stale notice is acknowledged.
+        """
         instance = notice.run.instance.decode()
         if self._instances.is_current(notice.run):
             _log.info("target left", instance=instance)
@@ -294,26 +298,26 @@
             _log.info("stale leave notice ignored", instance=instance)
         return True
 
-    def _target_up(self) -> None:
-        """Serve a target that listens before its first heartbeat has come.
+    def _on_target_up(self) -> None:
+        """Serve a target that listens although no heartbeat has arrived yet.
 
-        A target that is leaving reports it with its next heartbeat, within
-        about a second.
+        A draining target will say so in its next heartbeat, within about a
+        second.
         """
         if self._owner.condition is Condition.STARTING:
-            self._life.step("configured")
+            self._lifecycle.step("configured")
             self._set_condition(Condition.SERVING)
 
-    def _target_gone(self) -> None:
-        """Handle refused connections: the target and its flows have ended.
+    def _on_target_gone(self) -> None:
+        """Handle refused connections: reset the flows of a target that has ended.
 
-        A leaving target is an exception, since it may only have stopped
-        listening.
+        The flows of a leaving target are not reset, since the target may only
+        have stopped listening.
         """
         if self._has_target_left or self._owner.condition is Condition.UNRESPONSIVE:
             return
         if self._owner.condition is Condition.LEAVING:
-            # Its leave notice may have been lost. It may keep running without
+            # The leave notice may have been lost. The target may run without
             # listening, and own flows, until its VM is stopped.
             self._has_target_left = True
             _log.info("draining target does not listen")
@@ -324,12 +328,12 @@
         self._set_condition(Condition.UNRESPONSIVE)
         self._perform(resets)
 
-    def _target_absent(self) -> None:
+    def _on_target_absent(self) -> None:
         """Announce that nothing has listened since the start of this agent.
 
-        The announcement doesn't wait for a query: a VM that starts without its
-        target after a loss of power may be stopped before any balancer sends
-        one.
+        The announcement doesn't wait for an ownership query, since a VM that
+        starts without its target after a power loss may be stopped before any
+        balancer sends a query.
         """
         self._owner.note_no_listener(now=_now())
         if self._owner.is_absent and not self._link.record.is_absent:
@@ -348,13 +352,13 @@
         )
 
     def _apply_cold_limit(self, ack: HeartbeatAck) -> None:
-        """Apply the limit of the configuration, unless a newer one is known."""
+        """Apply an acknowledgement's limit of new flows, unless it is outdated."""
         if ack.version >= self._cold_limit_version:
             self._cold_limit_version = ack.version
             self._owner.target_load.cold.per_second = ack.cold_per_second
 
     def _evacuate(self) -> None:
-        """Apply a new evacuation order, also to SYNs that wait here."""
+        """Apply a changed evacuation order, also to the queued SYNs."""
         self._owner.is_evacuated = self._link.is_evacuated
         self._perform(self._owner.expire(now=_now()))
 
@@ -366,13 +370,15 @@
         frame = self._frame_codec.decode(data)
         match frame:
             case ForwardPacket():
-                self._receive_carried(frame, sender=frame.reply_to or sender)
+                self._receive_forwarded(frame, sender=frame.reply_to or sender)
             case RelayPacket(service=service, payload=payload):
                 self._perform(self._owner.relay(frame, balancer=sender))
                 own = ForwardPacket(service=service, payload=payload, wants_reply=True)
-                self._receive_carried(own, sender=sender)
+                self._receive_forwarded(own, sender=sender)
             case OwnershipQuery():
-                self._perform(self._owner.ask(frame, sender=sender, now=_now()))
+                self._perform(
+                    self._owner.handle_query(frame, sender=sender, now=_now())
+                )
             case ReserveSlot():
                 self._perform(self._owner.reserve(frame, balancer=sender, now=_now()))
             case DeclineSlot():
@@ -385,7 +391,7 @@
             case _:
                 self._drop("unexpected")
 
-    def _receive_carried(
+    def _receive_forwarded(
         self, frame: ForwardPacket, *, sender: tuple[str, int]
     ) -> None:
         packet = self._packet_codec.decode(frame.payload, from_target=False)
@@ -440,7 +446,7 @@
     def _send_frame(self, frame, endpoint: tuple[str, int]) -> None:
         """Send a frame to another process's internal address."""
         if self._internal is None:
-            return  # A heartbeat is due while the socket is still being opened.
+            return  # The socket is still being opened.
         send_frame(
             frame,
             endpoint,
@@ -463,7 +469,7 @@
         while True:
             await asyncio.sleep(TICK_SECONDS)
             self._perform(self._owner.tick(now=_now()))
-            self._perform(self._owner.answer_pending(now=_now()))
+            self._perform(self._owner.reply_to_pending_queries(now=_now()))
 
     # Control
 
@@ -474,14 +480,14 @@
                     name=self._settings.name,
                     role="agent",
                     data_centre=self._settings.data_centre,
-                    state=self._life.state,
+                    state=self._lifecycle.state,
                     version=0,
                     uptime=_now() - self._started,
                     slot_use=self._owner.target_load.use_fields,
                 )
             case DrainRequest():
                 name = self._settings.name
-                return handle_drain(message, name=name, life=self._life)
+                return handle_drain(message, name=name, life=self._lifecycle)
         return None
 
     def _metrics(self):
@@ -491,7 +497,7 @@
         failed = self._owner.target_load.failed_percent(now=_now())
         yield gauge("failed_percent", "Recent requests that failed, in %.", failed)
         yield self._owner.target_load.answer_seconds
-        yield from self._owner.target_load.readings
+        yield from self._owner.target_load.metrics
         yield from self._sender.metrics
         results = self._owner.counts_by_result
         yield counter("flow_decisions", "Decisions on flows.", results, "result")
--- a/monsoonpier/agent/packets/queue.py
+++ b/monsoonpier/agent/packets/queue.py
@@ -1,12 +1,12 @@
 """SYNs that wait at an agent for a slot of its target.
 
 Only the agent knows when a slot comes free. A SYN that waits here is delivered
-at once, without a round trip to its balancer, and waiting SYNs of several
-balancers are served in one order.
+at once, without a round trip to its balancer, and the SYNs of all balancers
+are served in one order.
 
 The queue is short, since a flow that waits here can't go to another target
-that has a free slot earlier, and a flow in time may replace a late one at any
-moment.
+whose slot comes free earlier. When the queue is full, a flow that can still be
+answered within its latency target replaces a late one.
 """
 
 from dataclasses import dataclass
@@ -22,7 +22,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class QueuedSyn:
-    """A waiting SYN with what is needed to deliver or reject it."""
+    """A waiting SYN.
+
+    Attributes:
+        packet: The SYN.
+        tried: The names of the targets that the SYN was sent to.
+        balancer: The address of the balancer that sent the SYN.
+    """
 
     packet: Packet
     tried: tuple[str, ...]
@@ -44,12 +50,12 @@
 
     @property
     def timely(self) -> int:
-        """How many can still be answered in time."""
+        """The number of SYNs that can be answered within the latency target."""
         return self._queue.timely
 
     @property
     def late(self) -> int:
-        """How many can no longer be answered in time."""
+        """The number of SYNs that can't be answered within the latency target."""
         return self._queue.late
 
     def add(
@@ -65,7 +71,7 @@
         """Add a SYN; return the SYN that the queue has no room for, if any.
 
         Args:
-            frame: The frame with the SYN; says how long the caller waits.
+            frame: The frame that contains the SYN and its time limits.
             packet: The SYN.
             balancer: The balancer that sent it.
             slots: How many requests the target works on at once.
--- a/monsoonpier/agent/packets/reservations.py
+++ b/monsoonpier/agent/packets/reservations.py
@@ -8,7 +8,7 @@
 
 Balancers reserve at random agents, so the reservations here are a fair sample
 of the service's waiting flows. The share of late flows that need a slot is
-estimated from them.
+estimated from these reservations.
 """
 
 from collections import Counter, deque
@@ -32,8 +32,8 @@
 OFFER_SECONDS = 0.02  # several round trips to a balancer in the same region
 MAX_UNANSWERED_OFFERS = 2  # in a row, then a balancer's reservations are removed
 # Late flows get the share of slots that serves all of them, up to this share.
-# If they need more, not all can be served, and their slots make others late
-# too.
+# If they need more, they get only one slot in `LATE_TURN_INTERVAL`, since not
+# all of them can be served and their slots would make other flows late.
 MAX_LATE_SHARE = 0.3
 
 
@@ -51,7 +51,10 @@
 
 
 class Reservations:
-    """Reservations and open offers of one agent. Does no I/O."""
+    """Balancers' reservations of one target's slots, and open offers of slots.
+
+    Does no I/O.
+    """
 
     def __init__(self, *, most: int = MAX_RESERVATIONS) -> None:
         self._max_reservations = most
@@ -92,7 +95,8 @@
             priority=frame.priority,
         )
         if frame.flow in self._balancers_by_flow:
-            # Its times change if its caller turns out to have asked before.
+            # The times change if the caller turns out to have made an earlier
+            # attempt.
             self._queue.remove(waiting)
         elif len(self._balancers_by_flow) >= self._max_reservations:
             return False
@@ -101,7 +105,7 @@
         return True
 
     def offer(self, *, run_seconds: float, slots: int, now: float) -> SlotOffer | None:
-        """Offer a slot to the balancer whose flow comes first, if any waits.
+        """Record an offer to the balancer whose flow is next; ``None`` if none waits.
 
         Args:
             run_seconds: The service time of a run.
@@ -134,7 +138,7 @@
         return is_due
 
     def taken(self, balancer: Endpoint) -> None:
-        """Record that a balancer has answered an offer, if it had one."""
+        """Record that a balancer responded; close its oldest open offer, if any."""
         self._unanswered_by_balancer.pop(balancer, None)
         for offer in self._offers:
             if offer[1] == balancer:
@@ -149,9 +153,9 @@
     def expire(self, *, now: float) -> Counter[Endpoint]:
         """Withdraw unanswered offers; return their counts by balancer.
 
-        A balancer that leaves several in a row unanswered has ended or can't
-        be reached. Its reservations are removed, since each would keep a slot
-        empty; a live balancer reserves again.
+        A balancer that leaves several offers in a row unanswered has ended or
+        can't be reached. Its reservations are removed, since each would keep a
+        slot empty. A balancer that still runs will reserve again.
         """
         expired: Counter[Endpoint] = Counter()
         while self._offers and now - self._offers[0][0] >= OFFER_SECONDS:
@@ -168,7 +172,7 @@
         return expired
 
     def clear(self) -> None:
-        """Remove everything, since the target takes no new flows."""
+        """Remove all reservations and offers, since no new flow is accepted."""
         self._queue = WaitingQueue()
         self._balancers_by_flow.clear()
         self._offers.clear()
--- a/monsoonpier/agent/packets/slot_use.py
+++ b/monsoonpier/agent/packets/slot_use.py
@@ -1,7 +1,7 @@
-"""Accounts how a target's slots spend their time, as seen by its agent.
+"""Accounting of a target's slot time by its agent: busy, idle, or kept.
 
-The target's own figures do not show empty slots: a slot that is kept for a
-caller's first request counts as taken, though nothing runs on it.
+After a new flow's SYN has been delivered, a slot is kept for the caller's first
+request: the slot is empty, but no other flow gets it.
 """
 
 from collections import deque
@@ -24,12 +24,12 @@
         kept: Seconds in which slots were empty and kept for the first request
             of a new flow.
         idle: Seconds in which slots were empty, including ``kept``.
-        idle_while_queued: The part of ``idle`` in which a flow waited at this
-            agent.
-        kept_in_vain: The part of ``kept`` for callers that then sent no
-            request in time.
+        idle_while_queued: The part of ``idle`` in which a flow waited for a
+            slot.
+        kept_in_vain: The part of ``kept`` for callers counted as ``silent``.
         runs: Requests answered.
-        silent: Slots that were kept for such callers.
+        silent: Callers that closed the flow or let the timeout pass without a
+            request.
         dropped: Slots kept for a flow that ended before its first request, or
             was opened at another target.
     """
@@ -44,14 +44,14 @@
     dropped: int = 0
 
     def since(self, before: "SlotSeconds") -> "SlotSeconds":
-        """Return the difference to earlier sums."""
+        """Return these sums minus earlier ones."""
         earlier = asdict(before)
         gained = {name: value - earlier[name] for name, value in asdict(self).items()}
         return SlotSeconds(**gained)
 
     @property
     def seconds_by_use(self) -> dict[str, float]:
-        """The times, by the metric's label."""
+        """The sums of seconds, by their label in metrics."""
         return {
             "busy": self.busy,
             "kept": self.kept,
@@ -61,8 +61,8 @@
         }
 
     @property
-    def turns_by_outcome(self) -> dict[str, float]:
-        """Outcomes of slots given to a flow, by the metric's label."""
+    def slots_by_outcome(self) -> dict[str, float]:
+        """How often a slot given to a flow had each outcome, by the metric's label."""
         return {"ran": self.runs, "silent": self.silent, "dropped": self.dropped}
 
     @property
@@ -83,9 +83,8 @@
     """Sums up the time of a target's slots. Does no I/O.
 
     Attributes:
-        gap_seconds: Time from the end of a run to the start of the next one on
-            the same slot, if a flow waited or was being opened when the run
-            ended.
+        gap_seconds: The time between the end of a run and the start of the
+            next one, if a flow waited or was being opened when the run ended.
     """
 
     def __init__(self) -> None:
@@ -104,7 +103,7 @@
         self._expected = 0
         self._kept_slots = 0
         self._queued = 0
-        self._gaps_since: deque[float] = deque()
+        self._gap_starts: deque[float] = deque()
         self._logged_at: float | None = None
         self._logged = SlotSeconds()
         self.gap_seconds = Histogram(
@@ -127,7 +126,7 @@
         )
 
     @property
-    def readings(self) -> tuple[Metric, ...]:
+    def metrics(self) -> tuple[Metric, ...]:
         """The metrics of slot use."""
         total = self.total
         return (
@@ -140,7 +139,7 @@
             counter(
                 "slot_turns",
                 "Slots given to a flow, by outcome.",
-                total.turns_by_outcome,
+                total.slots_by_outcome,
                 "outcome",
             ),
             self.gap_seconds,
@@ -149,11 +148,11 @@
     def observe(
         self, *, slots: int, running: int, expected: int, queued: int, now: float
     ) -> None:
-        """Account the time since the last call and record the current state.
+        """Account for the time since the last call and record the current state.
 
         Args:
-            slots: Slots to account; only the running ones while the target
-                takes no new flows.
+            slots: Slots to account for; only the running ones while the target
+                accepts no new flows.
             running: Requests that the target works on.
             expected: Flows whose first request is expected.
             queued: Flows that wait for a slot.
@@ -166,20 +165,20 @@
         self._kept_slots = min(slots - self._running, expected)
         self._queued = queued
         if not queued and not expected:
-            self._gaps_since.clear()
+            self._gap_starts.clear()
 
     def advance(self, *, now: float) -> None:
-        """Account the time since the last call; the state stays as it was."""
+        """Account for the time since the last call, in the state recorded last."""
         if self._counted_until is not None:
             self._count(max(0.0, now - self._counted_until))
         self._counted_until = now
 
     def kept_seconds_per_flow(self, *, now: float) -> float:
-        """Return how long an expected flow would have kept a slot since the start.
+        """Return a running total of the slot time kept by each expected flow.
 
-        The difference between two calls is the time for which a flow that was
-        expected in between has kept a slot. It is less than the time passed if
-        more flows were expected than slots were empty.
+        A flow keeps slot time equal to the growth of the total while the flow
+        is expected. The total grows more slowly than the clock while there are
+        more expected flows than empty slots.
         """
         if self._counted_until is None:
             return 0.0
@@ -189,7 +188,7 @@
 
     @property
     def _kept_slots_per_flow(self) -> float:
-        """How many slots each expected flow keeps, 1 at most."""
+        """The number of empty slots per expected flow, at most 1."""
         return self._kept_slots / self._expected if self._expected else 0.0
 
     def _count(self, seconds: float) -> None:
@@ -204,8 +203,8 @@
 
     def run_started(self, *, now: float) -> None:
         """Record that a slot has started to run a request."""
-        if self._gaps_since:
-            self.gap_seconds.observe(now - self._gaps_since.popleft())
+        if self._gap_starts:
+            self.gap_seconds.observe(now - self._gap_starts.popleft())
 
     def run_ended(self, *, is_slot_free: bool, is_wanted: bool, now: float) -> None:
         """Record that a request was answered.
@@ -220,12 +219,12 @@
         if not is_wanted:
             return
         if is_slot_free:
-            self._gaps_since.append(now)
+            self._gap_starts.append(now)
         else:
             self.gap_seconds.observe(0.0)
 
     def count_silent(self, *, seconds: float) -> None:
-        """Count a flow whose first request never came, and its kept time."""
+        """Count a caller that sent no request, and how long a slot was kept for it."""
         self._silent += 1
         self._kept_in_vain += seconds
 
@@ -235,7 +234,7 @@
 
     def target_ended(self) -> None:
         """Discard open gaps, since the target's instance has ended."""
-        self._gaps_since.clear()
+        self._gap_starts.clear()
 
     def summary_if_due(self, *, now: float) -> SlotSeconds | None:
         """Return the use since the last summary if one is due, unless all zero."""
--- a/monsoonpier/charts/chart.py
+++ b/monsoonpier/charts/chart.py
@@ -10,14 +10,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Chart:
-    """The states and transitions of one role.
+    """A state machine, such as the lifecycle of a process.
 
-    An event that a state has no transition for leaves the state as it is.
+    An event without a transition from the current state leaves the state
+    unchanged.
 
     Attributes:
         name: The name of the chart's file, without its suffix.
         initial: The state at the start.
-        traits_by_state: The traits of each state.
+        traits_by_state: The boolean properties of each state.
         events: All events.
         next_by_state_and_event: The transitions.
     """
@@ -52,8 +53,7 @@
     Raises:
         ValueError: If a transition names a state that the chart doesn't have.
     """
-    # Avoids importlib.resources, whose import would slow the start of
-    # processes.
+    # Avoids importlib.resources, whose import slows the start of processes.
     text = (Path(__file__).parent / f"{name}.toml").read_text(encoding="utf-8")
     content = tomllib.loads(text)
     states = content["states"]
--- a/monsoonpier/model/evacuation.py
+++ b/monsoonpier/model/evacuation.py
@@ -8,8 +8,8 @@
 A store that was restored from a backup may lack an order until the operator
 writes it again. An order of an earlier generation therefore stays in force
 until a conclusive read in the newer generation does not find it: sending flows
-to a data centre that is being evacuated is worse than sparing it for a few
-more seconds.
+to a data centre that is being evacuated is worse than sending it none for a
+few more seconds.
 """
 
 from collections.abc import Iterable, Mapping
@@ -68,11 +68,12 @@
 
     Attributes:
         known: The latest order on each data centre that ever had one.
-        read_at: The store's revision of the newest full read. Older updates of
-            the same generation on data centres without a known order are
-            outdated.
-        concluded_at: The revision of the newest conclusive read. Such updates
-            of earlier generations are outdated too.
+        read_at: The store's revision of the newest full read. If no order on a
+            data centre is known, an update on it is ignored if it has the same
+            generation and isn't newer than this read.
+        concluded_at: The revision of the newest conclusive read. Such an
+            update is ignored, whatever its generation, if it isn't newer than
+            this read.
     """
 
     known: tuple[Evacuation, ...] = ()
@@ -116,7 +117,7 @@
                 is_changed = True
         if not is_changed:
             return self
-        return replace(self, known=_bounded(newest_by_name.values()))
+        return replace(self, known=_limit_orders(newest_by_name.values()))
 
     def as_read(
         self,
@@ -160,18 +161,21 @@
         )
 
     def _is_outdated(self, written_at: Revision) -> bool:
-        """Return whether an update on an unknown data centre precedes a read."""
+        """Return whether an update was written before a read that did not find it.
+
+        Applies only to data centres without a known order.
+        """
         if written_at <= self.concluded_at:
             return True
         is_same_generation = written_at.generation == self.read_at.generation
         return is_same_generation and written_at <= self.read_at
 
 
-def _bounded(orders: Iterable[Evacuation]) -> tuple[Evacuation, ...]:
-    """Return at most `MAX_EVACUATIONS` orders, by name.
+def _limit_orders(orders: Iterable[Evacuation]) -> tuple[Evacuation, ...]:
+    """Return at most `MAX_EVACUATIONS` of the orders, sorted by data centre.
 
-    Active orders are kept before revoked ones, and newer ones before older
-    ones.
+    Revoked orders are discarded before active ones, and older orders before
+    newer ones.
     """
     ranked = sorted(
         orders,
--- a/monsoonpier/model/findings.py
+++ b/monsoonpier/model/findings.py
@@ -35,7 +35,7 @@
 
 
 def report(findings: tuple[Finding, ...]) -> str:
-    """Return all findings in the order of their places, one a line."""
+    """Return all findings as text, one per line, sorted by place."""
     ordered = sorted(
         findings, key=lambda f: (f.place.file, f.place.line, f.place.column)
     )
--- a/monsoonpier/model/keys.py
+++ b/monsoonpier/model/keys.py
@@ -25,14 +25,16 @@
 
 @dataclass(frozen=True, kw_only=True)
 class KeyRing:
-    """The keys in force: the first one signs, and all of them verify."""
+    """The valid keys: the first one signs messages, and all of them verify."""
 
     keys: tuple[Key, ...] = field(repr=False)
 
     @cached_property
-    def _states_by_purpose(self) -> dict:
-        # Copying a prepared state is faster than hashing the key for each
-        # message.
+    def _hash_states_by_purpose(self) -> dict:
+        """Keyed hash states, by purpose and key id.
+
+        Copying such a state is faster than hashing the key for each message.
+        """
         return {
             purpose: {
                 key.id: blake2b(key=key.secret, digest_size=MAC_BYTES, person=purpose)
@@ -51,17 +53,17 @@
         ``bound_to`` is covered by the MAC but not contained in the result. It
         must have the same length in all messages of a purpose.
         """
-        state = self._states_by_purpose[purpose][self.keys[0].id].copy()
+        state = self._hash_states_by_purpose[purpose][self.keys[0].id].copy()
         state.update(bound_to + body)
         return self._key_byte + state.digest() + body
 
     def unseal(
         self, sealed: bytes, *, purpose: bytes, bound_to: bytes = b""
     ) -> bytes | None:
-        """Return the body if its MAC is valid for a key in force, else ``None``."""
+        """Return the body if a key of the ring verifies its MAC, else ``None``."""
         if len(sealed) <= HEADER_BYTES:
             return None
-        state = self._states_by_purpose[purpose].get(sealed[0])
+        state = self._hash_states_by_purpose[purpose].get(sealed[0])
         if state is None:
             return None
         state = state.copy()
--- a/monsoonpier/model/outcome.py
+++ b/monsoonpier/model/outcome.py
@@ -1,4 +1,4 @@
-"""Outcomes of a request, as its caller gets them. To be used with ``match``."""
+"""Outcomes of a request that the callers' library returns, for use with ``match``."""
 
 from dataclasses import dataclass
 
--- a/monsoonpier/model/rendezvous.py
+++ b/monsoonpier/model/rendezvous.py
@@ -32,9 +32,9 @@
     """Return the candidates with a weight above 0, best for the subject first.
 
     Over many subjects, each candidate comes first in proportion to its weight.
-    Its score depends on no other weight: when a weight grows, subjects move
-    only to that candidate, and when a candidate goes, only its own subjects
-    move.
+    A candidate's score doesn't depend on the weights of others. When a weight
+    grows, subjects move only to that candidate, and when a candidate is
+    removed, only its own subjects move.
     """
     scores_by_candidate = {
         candidate: -math.log(_unit_hash(subject, candidate)) / weight
--- a/monsoonpier/model/revision.py
+++ b/monsoonpier/model/revision.py
@@ -1,9 +1,9 @@
 """A revision of the key-value store that stays ordered across restores.
 
 The store counts its changes. When it is restored from a backup, its count goes
-back, and later changes get numbers that were used before, so a number alone
-does not tell which of two changes came later. The generation, which grows by
-one at each restore, is compared first.
+back, and later changes get numbers that were used before, so numbers alone
+do not show which of two changes is the later one. The generation, which grows
+by one at each restore, is compared first.
 """
 
 from dataclasses import dataclass, replace
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True, order=True)
 class Revision:
-    """A change's position in the history of the store; a later one is greater.
+    """A change's position in the history of the store; later changes are greater.
 
     Attributes:
         generation: How often the store has been restored from a backup.
--- a/monsoonpier/model/service.py
+++ b/monsoonpier/model/service.py
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Kind:
-    """A kind of work of a service.
+    """A kind of request that a service handles, with its properties.
 
     Attributes:
-        name: The name of the kind.
+        name: The name by which callers request the kind.
         idempotent: Whether a request may be executed more than once.
         stream: Whether the answer is a stream.
         deadline_seconds: How long a request may take if its caller sets no
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PacketRoute:
-    """Where new flows without a token to one address go.
+    """The services that get new flows without a token to one address, and how.
 
     Attributes:
         service: The service that gets new flows, unless there are weights.
@@ -99,15 +99,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Configuration:
-    """One accepted version of all of the operators' files.
+    """One accepted version of all the operators' files.
 
     Attributes:
         version: The version number.
         services_by_name: The services.
         routes_by_address: The routes of flows without a token.
-        cold_per_second_by_service: New flows without a token a second that a
-            cold target may get; services without a limit are left out.
-        findings: Errors in single routes; the other routes are in force.
+        cold_per_second_by_service: The rate of new flows without a token, per
+            second, that a cold target may get. Services without a limit are
+            omitted.
+        findings: Errors in single routes; the other routes are used.
     """
 
     version: int = 0
--- a/monsoonpier/model/target.py
+++ b/monsoonpier/model/target.py
@@ -30,19 +30,21 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True, gc=False):
-    """An agent's count of its target's load, sent with replies and heartbeats.
+    """A target's load as its agent counts it, sent with replies and heartbeats.
 
     Attributes:
         number: Grows with each report, so that stale ones are detected.
         in_flight: Requests in flight.
-        queued: Requests or new flows that wait and can be answered in time.
+        queued: Requests or new flows that wait and can still be answered in
+            time: within the latency target, or before the deadline.
         flows: Open flows.
         service_ms: The smoothed service time.
         age_ms: The time since the target began to serve.
         condition: What the target accepts.
         cold_ms: How long the target will still be slower than usual.
-        failed_percent: The share of recent requests that failed.
-        queued_late: Those that wait and can't be answered in time.
+        failed_percent: The percentage of recent requests that failed.
+        queued_late: Requests or new flows that wait and can't be answered in
+            time.
     """
 
     number: int
@@ -73,7 +75,7 @@
         control: The agent's control address.
         instance: Identifies the instance of the target.
         epoch: The agent's start, in milliseconds of its wall clock.
-        change: Counts the record's changes since then.
+        change: Counts the record's changes since the agent's start.
         slots: How many requests the target works on at once.
         connections: How many flows the target can own at once.
         condition: What the target accepts.
@@ -106,7 +108,10 @@
         return Address(ip=self.ip, port=self.port)
 
     def with_condition(self, condition: Condition) -> "TargetRecord":
-        """Return a copy with the condition, one change newer."""
+        """Return a copy with this condition and the next change number.
+
+        The copy stays marked absent only if the condition is ``STARTING``.
+        """
         is_absent = self.is_absent and condition is Condition.STARTING
         return msgspec.structs.replace(
             self, condition=condition, change=self.change + 1, is_absent=is_absent
--- a/monsoonpier/model/token.py
+++ b/monsoonpier/model/token.py
@@ -17,9 +17,9 @@
         ip: The agent's IP address.
         port: The agent's UDP port.
         instance: Identifies the agent's instance.
-        opening: Distinguishes several openings of one flow id at that
-            instance: a delayed OPEN, and requests after it, may arrive long
-            after the flow was closed.
+        opening: Distinguishes openings of the same flow id at this instance,
+            since a delayed OPEN or request may arrive long after its flow was
+            closed.
     """
 
     service: str
@@ -34,7 +34,7 @@
         return (self.ip, self.port)
 
     def with_opening(self, opening: int) -> "FlowToken":
-        """Return a copy for another opening of the flow."""
+        """Return a copy that identifies another opening of the flow."""
         return msgspec.structs.replace(self, opening=opening)
 
 
--- a/monsoonpier/model/waiting.py
+++ b/monsoonpier/model/waiting.py
@@ -1,10 +1,11 @@
 """The order in which new flows wait for a slot.
 
-Under overload, as after an outage, callers that are late already would make
-all later ones late too if flows were served in order of arrival. So flows that
-can still be answered in time go first, by priority and then by least time
-left. Late flows get the remaining slots, the one whose caller gives up first
-before the others, and a fixed share of the slots in any case.
+A flow is in time while it can still be answered within its latency target, and
+late afterwards. Under overload, as after an outage, serving flows in order of
+arrival would let late flows make all others late too. Therefore flows in time
+go first, by priority and then by the time left. Late flows get the remaining
+slots, in the order in which their callers give up, and at least a fixed share
+of all slots.
 """
 
 from bisect import bisect, bisect_left, insort
@@ -21,22 +22,22 @@
 ]
 
 LATE_TURN_INTERVAL = 16  # one slot in so many goes to a late flow, so that none starves
-# The number of agents at which a waiting flow reserves a slot, since one of
-# them may end. Balancers and agents must use the same value.
+# The number of agents at which a waiting flow reserves a slot; more than one,
+# since an agent may end. Balancers and agents must use the same value.
 RESERVATIONS_PER_FLOW = 2
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WaitingFlow:
-    """A flow that waits.
+    """A new flow that waits for a slot, with the times that decide its order.
 
     Attributes:
-        flow: The flow's addresses and ports.
+        flow: The flow's addresses and ports, in bytes.
         in_time_until: The time by which an answer meets the latency target.
         expires: When the caller is about to give up.
         priority: The priority of the route; 0 goes first.
-        is_doubtful: Whether the flow is presumed abandoned by its caller; it
-            then goes after all others.
+        is_doubtful: Whether the flow is presumed abandoned by its caller. Such
+            flows go after all others.
     """
 
     flow: bytes
@@ -46,7 +47,7 @@
     is_doubtful: bool = False
 
 
-# A flow counts as late when less time than so many service times is left. The
+# A flow counts as late when less than this many service times are left. The
 # margin is above 1 since half of the runs take longer than the median.
 MARGIN_RUNS = 2.0
 
@@ -60,7 +61,7 @@
     def __init__(self) -> None:
         self._timely_by_priority: dict[int, list[WaitingFlow]] = {}
         self._late: list[WaitingFlow] = []
-        self._doubtful: list[WaitingFlow] = []
+        self._abandoned: list[WaitingFlow] = []
         self._turn = 0
 
     def __len__(self) -> int:
@@ -68,7 +69,8 @@
 
     @property
     def _lists(self) -> tuple[list[WaitingFlow], ...]:
-        return (self._doubtful, self._late, *self._timely_by_priority.values())
+        """All lists of waiting flows: presumed abandoned, late and timely ones."""
+        return (self._abandoned, self._late, *self._timely_by_priority.values())
 
     @property
     def flows(self) -> list[WaitingFlow]:
@@ -77,28 +79,28 @@
 
     @property
     def timely(self) -> int:
-        """How many can be answered in time, as of the last `sort_out`."""
+        """The number of flows in time, as of the last `sort_out`."""
         return sum(map(len, self._timely_by_priority.values()))
 
     @property
     def certain(self) -> int:
-        """How many are not presumed abandoned."""
+        """The number of flows that are not presumed abandoned."""
         return self.timely + self.late
 
     @property
     def late(self) -> int:
-        """How many can't be answered in time, as of the last `sort_out`."""
+        """The number of late flows, as of the last `sort_out`."""
         return len(self._late)
 
     @property
     def doubtful(self) -> int:
-        """How many are presumed abandoned by their callers."""
-        return len(self._doubtful)
+        """The number of flows that are presumed abandoned by their callers."""
+        return len(self._abandoned)
 
     def add(self, waiting: WaitingFlow) -> None:
         """Add a flow."""
         if waiting.is_doubtful:
-            insort(self._doubtful, waiting, key=_by_expiry)
+            insort(self._abandoned, waiting, key=_by_expiry)
             return
         timely = self._timely_by_priority.setdefault(waiting.priority, [])
         insort(timely, waiting, key=_by_latency_target)
@@ -116,7 +118,10 @@
         return None
 
     def ahead(self, waiting: WaitingFlow, *, in_time: bool) -> int:
-        """Return how many flows would go before one more, without late turns."""
+        """Return how many flows would go before this one if it were added.
+
+        Slots that `pop` gives to late flows out of turn are not considered.
+        """
         if not in_time:
             return self.timely + bisect(self._late, waiting.expires, key=_by_expiry)
         return sum(
@@ -128,7 +133,7 @@
         )
 
     def sort_out(self, *, now: float, run_seconds: float) -> None:
-        """Move flows that can't be answered in time any more to the late ones.
+        """Move flows that are no longer in time to the late ones.
 
         Args:
             now: The present time.
@@ -148,12 +153,12 @@
             flows[:] = [other for other in flows if other.flow not in gone]
 
     def needed_late_share(self, *, now: float, seconds_each: float) -> float:
-        """Return the share of slots that is needed to serve all late flows.
+        """Return the share of slots needed to serve all late flows before they expire.
 
         Args:
             now: The present time.
-            seconds_each: The time between two slots that come free for these
-                flows.
+            seconds_each: The mean time between slots that come free for the
+                flows of this queue.
         """
         return max(
             (
@@ -165,7 +170,7 @@
 
     @property
     def is_late_turn(self) -> bool:
-        """Whether `pop` would return a late flow."""
+        """Whether `pop` would return a late flow now."""
         is_turn = (self._turn + 1) % LATE_TURN_INTERVAL == 0
         return bool(self._late) and (is_turn or not self.timely)
 
@@ -179,14 +184,14 @@
         self._turn += 1
         if is_late_turn:
             return self._late.pop(0)
-        return self._pop_timely(0) if self.timely else self._doubtful.pop(0)
+        return self._pop_timely(0) if self.timely else self._abandoned.pop(0)
 
     def pop_for(self, *, is_late_turn: bool, answered_at: float) -> WaitingFlow:
         """Remove and return the flow that fits a particular slot best.
 
         Slots of a service differ in speed. A flow that this slot would answer
-        too late is left for a faster one while others wait. Flows presumed
-        abandoned come last.
+        too late is left for a faster slot while other flows wait. Flows
+        presumed abandoned come last.
 
         Args:
             is_late_turn: Whether to prefer a late flow.
@@ -204,7 +209,7 @@
             return self._late.pop(0)
         if self.timely:
             return self._pop_timely(-1)
-        return self._doubtful.pop(0)
+        return self._abandoned.pop(0)
 
     def _pop_timely(self, index: int) -> WaitingFlow:
         urgent = min(p for p, flows in self._timely_by_priority.items() if flows)
@@ -213,8 +218,8 @@
     @property
     def last(self) -> WaitingFlow | None:
         """The flow that would be served last."""
-        if self._doubtful:
-            return self._doubtful[-1]
+        if self._abandoned:
+            return self._abandoned[-1]
         if self._late:
             return self._late[-1]
         priorities = [p for p, flows in self._timely_by_priority.items() if flows]
--- a/monsoonpier/model/waiting_summary.py
+++ b/monsoonpier/model/waiting_summary.py
@@ -1,4 +1,4 @@
-"""Waiting times of one class of work at one balancer, for operators."""
+"""Waiting times of one service and priority at one balancer, for operators."""
 
 import msgspec
 
@@ -26,7 +26,7 @@
         service: The service of the flows.
         priority: The priority of their route; 0 goes first.
         aim_seconds: The latency target of their callers.
-        in_time: Waiting flows that can still be answered in time.
+        in_time: Waiting flows that can still meet the latency target.
         late: Waiting flows that can't.
         oldest_seconds: The longest wait since a caller's first attempt.
         waited_seconds: The sum of the waits since the callers' first attempts.
--- a/standins/packets/simulation.py
+++ b/standins/packets/simulation.py
@@ -639,7 +639,7 @@
         target = self.targets[port]
         if isinstance(frame, OwnershipQuery):
             sender = ("10.1.0.1", balancer)
-            replies = target.owner.ask(frame, sender=sender, now=self.now)
+            replies = target.owner.handle_query(frame, sender=sender, now=self.now)
             self._apply_agent_actions(target, replies)
             return
         sender = ("10.1.0.1", balancer)
--- a/tests/agent/test_heartbeat_peers.py
+++ b/tests/agent/test_heartbeat_peers.py
@@ -17,7 +17,7 @@
     def _known(self, count: int, target: str = "maps-1") -> HeartbeatPeers:
         heartbeat_peers = HeartbeatPeers(target=target)
         for number in range(1, count + 1):
-            heartbeat_peers.learn(balancer(f"b{number}", host=number).peers.own)
+            heartbeat_peers.update_record(balancer(f"b{number}", host=number).peers.own)
         return heartbeat_peers
 
     def _ack(self, heartbeat_peers: HeartbeatPeers, name: str, **more) -> None:
@@ -63,4 +63,4 @@
         heartbeat_peers = self._known(4)
         self._ack(heartbeat_peers, "b2", leaving=True)
         self.assertNotIn("b2", [r.name for r in heartbeat_peers.select(now=1.0)])
-        self.assertTrue(heartbeat_peers.is_cut_off)
+        self.assertTrue(heartbeat_peers.is_unacknowledged)
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -47,7 +47,7 @@
     def setUp(self) -> None:
         self.owner = owner(slots=SLOTS)
         for number in (1, 2):
-            self.bring(number, now=1.0)
+            self.forward(number, now=1.0)
             self.owner.from_target(answer(number, syn=True), now=1.0)
             sent = packet(number, size=10)
             self.owner.from_balancer(
@@ -57,7 +57,7 @@
                 now=1.0,
             )
 
-    def bring(self, number: int, *, now: float, sender=BALANCER, **times) -> list:
+    def forward(self, number: int, *, now: float, sender=BALANCER, **times) -> list:
         sent = packet(number, syn=True)
         frame = syn_frame(sent, **times)
         return self.owner.from_balancer(frame, sent, sender=sender, now=now)
@@ -75,18 +75,18 @@
 
     def test_delivered_when_a_slot_comes_free(self) -> None:
         """A queued SYN's balancer is notified, and the next free slot is for it."""
-        queued = self.bring(3, now=1.01)
+        queued = self.forward(3, now=1.01)
         self.assertEqual(len(frames(queued, SynQueued)), 1)
         self.assertEqual(frames(queued, SynQueued)[0].load.queued, 1)
         self.assertEqual(self.delivered(self.finish(1, now=1.05)), [packet(3).flow])
 
     def test_evacuated(self) -> None:
         """An agent of an evacuated data centre rejects new flows of any balancer."""
-        self.bring(3, now=1.01)
+        self.forward(3, now=1.01)
         self.owner.is_evacuated = True
         for actions in (
             self.owner.expire(now=1.02),
-            self.bring(4, now=1.03, sender=OTHER_BALANCER),
+            self.forward(4, now=1.03, sender=OTHER_BALANCER),
         ):
             (turned,) = frames(actions, SynRejected)
             self.assertEqual(turned.reason, "data centre evacuated")
@@ -100,42 +100,42 @@
     def test_no_longer_evacuated(self) -> None:
         """After the order is revoked, new flows wait and are delivered again."""
         self.owner.is_evacuated = True
-        self.bring(3, now=1.01)
+        self.forward(3, now=1.01)
         self.owner.is_evacuated = False
-        self.bring(3, now=1.02)
+        self.forward(3, now=1.02)
         self.assertEqual(self.delivered(self.finish(1, now=1.05)), [packet(3).flow])
         self.assertIs(self.owner.load(now=1.06).condition, Condition.SERVING)
 
     def test_in_time_before_late_of_any_balancer(self) -> None:
         """A flow that can be answered in time goes first, whoever sent it."""
-        self.bring(3, now=1.01, in_time_ms=0)
-        self.bring(4, now=1.02, sender=OTHER_BALANCER)
+        self.forward(3, now=1.01, in_time_ms=0)
+        self.forward(4, now=1.02, sender=OTHER_BALANCER)
         self.assertEqual(self.delivered(self.finish(1, now=1.05)), [packet(4).flow])
 
     def test_late_flow_makes_room(self) -> None:
         """A full queue rejects a late flow to make room for one in time."""
-        self.bring(3, now=1.01, in_time_ms=0)
-        self.bring(4, now=1.01)
-        actions = self.bring(5, now=1.02, sender=OTHER_BALANCER)
+        self.forward(3, now=1.01, in_time_ms=0)
+        self.forward(4, now=1.01)
+        actions = self.forward(5, now=1.02, sender=OTHER_BALANCER)
         (turned,) = frames(actions, SynRejected)
         self.assertEqual(turned.payload, packet(3, syn=True).raw)
         self.assertEqual(len(frames(actions, SynQueued)), 1)
 
     def test_full_of_equals(self) -> None:
         """A SYN that finds the queue full of equals is rejected with the load."""
-        self.bring(3, now=1.01)
-        self.bring(4, now=1.02)
-        actions = self.bring(5, now=1.03)
+        self.forward(3, now=1.01)
+        self.forward(4, now=1.02)
+        actions = self.forward(5, now=1.03)
         (turned,) = frames(actions, SynRejected)
         self.assertEqual(turned.payload, packet(5, syn=True).raw)
         self.assertEqual(turned.load.queued, 2)
 
     def test_retransmission_of_queued_syn(self) -> None:
         """A retransmission takes no second place, and its balancer is notified."""
-        self.bring(3, now=1.01)
-        actions = self.bring(3, now=1.21)
+        self.forward(3, now=1.01)
+        actions = self.forward(3, now=1.21)
         self.assertEqual(len(frames(actions, SynQueued)), 1)
-        another = self.bring(4, now=1.22)
+        another = self.forward(4, now=1.22)
         self.assertEqual(frames(another, SynRejected), [])
         self.finish(2, now=1.25)
         self.finish(1, now=1.3)
@@ -143,14 +143,14 @@
 
     def test_rejected_before_the_caller_gives_up(self) -> None:
         """A SYN for which no slot came free is rejected when its wait is over."""
-        self.bring(3, now=1.01, wait_ms=300)
+        self.forward(3, now=1.01, wait_ms=300)
         self.assertEqual(self.owner.tick(now=1.2), [])
         (turned,) = frames(self.owner.tick(now=1.32), SynRejected)
         self.assertEqual(turned.reason, "no slot came free")
 
     def test_leaving_target(self) -> None:
         """A leaving target takes none of the queued SYNs."""
-        self.bring(3, now=1.01)
+        self.forward(3, now=1.01)
         self.owner.condition = Condition.LEAVING
         actions = self.finish(1, now=1.05)
         self.assertEqual(self.delivered(actions), [])
@@ -158,7 +158,9 @@
 
     def test_syn_without_wait(self) -> None:
         """A SYN without a time to wait is not queued."""
-        self.assertEqual(len(frames(self.bring(3, now=1.0, wait_ms=0), SynRejected)), 1)
+        self.assertEqual(
+            len(frames(self.forward(3, now=1.0, wait_ms=0), SynRejected)), 1
+        )
 
 
 class QueuedAtAnAgentTests(unittest.TestCase):
@@ -261,16 +263,16 @@
 
     def test_slot_of_a_silent_caller(self) -> None:
         """The slot of a silent caller goes to the next flow before the next tick."""
-        held = owner(slots=1)
+        agent = owner(slots=1)
         for number, now in ((1, 1.0), (2, 1.01)):
             sent = packet(number, syn=True)
             frame = syn_frame(sent)
-            held.from_balancer(frame, sent, sender=BALANCER, now=now)
+            agent.from_balancer(frame, sent, sender=BALANCER, now=now)
         for _ in range(50):
-            held._admission.record_response_time(0.006)
-        self.assertTrue(held.is_waiting)
-        self.assertEqual(held.expire(now=1.0 + MIN_TIMEOUT_SECONDS / 2), [])
-        (delivered,) = held.expire(now=1.0 + MIN_TIMEOUT_SECONDS + 0.001)
+            agent._admission.record_response_time(0.006)
+        self.assertTrue(agent.is_waiting)
+        self.assertEqual(agent.expire(now=1.0 + MIN_TIMEOUT_SECONDS / 2), [])
+        (delivered,) = agent.expire(now=1.0 + MIN_TIMEOUT_SECONDS + 0.001)
         self.assertEqual(delivered.raw, packet(2, syn=True).raw)
 
 
@@ -279,36 +281,36 @@
 
     def _owner(self, *, run: float, handshake: float):
         """Return an agent's logic with one slot, both times known, during a run."""
-        made = owner(slots=1)
+        agent = owner(slots=1)
         now = 1.0
         for number in (1, 2):
             sent = packet(number, syn=True)
-            made.from_balancer(syn_frame(sent), sent, sender=BALANCER, now=now)
-            made.from_target(answer(number, syn=True), now=now)
+            agent.from_balancer(syn_frame(sent), sent, sender=BALANCER, now=now)
+            agent.from_target(answer(number, syn=True), now=now)
             now += handshake
             sent = packet(number, size=10)
             carried = ForwardPacket(service="maps", payload=sent.raw)
-            made.from_balancer(carried, sent, sender=BALANCER, now=now)
+            agent.from_balancer(carried, sent, sender=BALANCER, now=now)
             if number == 1:
                 now += run
-                made.from_target(answer(number, size=50), now=now)
-        return made, now
+                agent.from_target(answer(number, size=50), now=now)
+        return agent, now
 
-    def _delivered(self, made, number: int, *, now: float) -> bool:
+    def _delivered(self, agent, number: int, *, now: float) -> bool:
         sent = packet(number, syn=True)
-        actions = made.from_balancer(syn_frame(sent), sent, sender=BALANCER, now=now)
+        actions = agent.from_balancer(syn_frame(sent), sent, sender=BALANCER, now=now)
         return sent.raw in [getattr(action, "raw", b"") for action in actions]
 
     def test_short_runs(self) -> None:
         """Exactly one SYN is delivered early during a short run."""
-        made, now = self._owner(run=0.016, handshake=0.008)
-        self.assertTrue(self._delivered(made, 3, now=now + 0.001))
-        self.assertFalse(self._delivered(made, 4, now=now + 0.002))
+        agent, now = self._owner(run=0.016, handshake=0.008)
+        self.assertTrue(self._delivered(agent, 3, now=now + 0.001))
+        self.assertFalse(self._delivered(agent, 4, now=now + 0.002))
 
     def test_long_runs(self) -> None:
         """Where a handshake is short compared to a run, SYNs wait in the queue."""
-        made, now = self._owner(run=0.2, handshake=0.008)
-        self.assertFalse(self._delivered(made, 3, now=now + 0.001))
+        agent, now = self._owner(run=0.2, handshake=0.008)
+        self.assertFalse(self._delivered(agent, 3, now=now + 0.001))
 
     def test_nearly_full(self) -> None:
         """With nine in ten slots in use, nearly all answers are in time."""
--- a/tests/packets/test_agent_process.py
+++ b/tests/packets/test_agent_process.py
@@ -60,7 +60,7 @@
     return TargetHeartbeat(**defaults | fields)
 
 
-def farewell(instance: str, *, born: int | None = None) -> LeaveNotice:
+def leave_notice(instance: str, *, born: int | None = None) -> LeaveNotice:
     return LeaveNotice(run=TargetInstance(identity=instance, born_ms=born))
 
 
@@ -78,10 +78,10 @@
         The target may have stopped listening and still own them.
         """
         self.process.take(heartbeat())
-        self.process.take(farewell("i-1"))
-        self.process._target_gone()
+        self.process.take(leave_notice("i-1"))
+        self.process._on_target_gone()
         self.assertIs(self.owner.condition, Condition.LEAVING)
-        self.process._life.step("terminate")
+        self.process._lifecycle.step("terminate")
         await asyncio.wait_for(self.process._shut_down(), 5)
         self.assertIs(self.owner.condition, Condition.GONE)
 
@@ -93,7 +93,7 @@
         """
         now = time.monotonic()
         self.owner.note_no_listener(now=now)
-        self.process._life.step("terminate")
+        self.process._lifecycle.step("terminate")
         leaving = asyncio.create_task(self.process._shut_down())
         await asyncio.sleep(0.1)
         self.assertIs(self.owner.condition, Condition.STARTING)
@@ -104,7 +104,7 @@
 
     async def test_stopped_before_first_check(self) -> None:
         """An agent that is stopped before its first check waits for certainty."""
-        self.process._life.step("terminate")
+        self.process._lifecycle.step("terminate")
         leaving = asyncio.create_task(self.process._shut_down())
         await asyncio.sleep(0.05)
         self.assertFalse(leaving.done())
@@ -115,10 +115,10 @@
 
     async def test_absence_is_announced(self) -> None:
         """Balancers are notified that no target was found, until one starts."""
-        self.process._target_absent()
+        self.process._on_target_absent()
         self.assertTrue(self.process._link.record.is_absent)
         change = self.process._link.record.change
-        self.process._target_absent()
+        self.process._on_target_absent()
         self.assertEqual(self.process._link.record.change, change)
         self.process.take(heartbeat())
         self.assertFalse(self.process._link.record.is_absent)
@@ -126,7 +126,7 @@
     async def test_stopped_while_target_unreachable(self) -> None:
         """An agent stops in time although the target's address doesn't answer."""
         self.owner.note_no_listener(now=time.monotonic())
-        self.process._life.step("terminate")
+        self.process._lifecycle.step("terminate")
         with mock.patch.object(agent_process, "MAX_ABSENT_SECONDS", 0.1):
             await asyncio.wait_for(self.process._shut_down(), 2)
         self.assertIs(self.owner.condition, Condition.SHEDDING)
@@ -134,7 +134,7 @@
     async def test_stopped_while_target_appears(self) -> None:
         """A target that appears in the meantime may keep running."""
         self.owner.note_no_listener(now=time.monotonic())
-        self.process._life.step("terminate")
+        self.process._lifecycle.step("terminate")
         leaving = asyncio.create_task(self.process._shut_down())
         await asyncio.sleep(0.05)
         self.process.take(heartbeat())
@@ -150,7 +150,7 @@
         self.process.take(heartbeat(is_draining=True, sequence=2))
         ended: list = []
         self.owner.target_ended = lambda *, now: ended.append(now) or []
-        self.process._target_gone()
+        self.process._on_target_gone()
         self.assertEqual(ended, [])
         self.assertIs(self.owner.condition, Condition.LEAVING)
         self.process.take(heartbeat(instance="i-2"))
@@ -179,13 +179,13 @@
         """A delayed leave notice doesn't end the instance that followed."""
         self.process.take(heartbeat())
         self.process.take(heartbeat(instance="i-2"))
-        self.process.take(farewell("i-1"))
+        self.process.take(leave_notice("i-1"))
         self.assertIs(self.owner.condition, Condition.SERVING)
 
     async def test_crash_and_new_instance(self) -> None:
         """A crashed target serves again with the heartbeat of its next instance."""
         self.process.take(heartbeat())
-        self.process._target_gone()
+        self.process._on_target_gone()
         self.assertIs(self.owner.condition, Condition.UNRESPONSIVE)
         self.process.take(heartbeat(sequence=2))
         self.assertIs(self.owner.condition, Condition.UNRESPONSIVE)
@@ -240,7 +240,7 @@
     async def test_clock_set_back_after_known_end(self) -> None:
         """One heartbeat is enough if the earlier instance is known to have ended."""
         self.send_heartbeat(born=9_000, sequence=70)
-        self.process._target_gone()
+        self.process._on_target_gone()
         self.send_heartbeat(born=1_000, sequence=1)
         self.assertIs(self.owner.condition, Condition.SERVING)
 
@@ -248,10 +248,10 @@
         """A delayed leave notice doesn't affect the new instance."""
         self.send_heartbeat(born=1_000, sequence=70)
         self.send_heartbeat(born=9_000, sequence=1)
-        self.process.take(farewell("i-1", born=1_000))
-        self.process.take(farewell("i-1"))
+        self.process.take(leave_notice("i-1", born=1_000))
+        self.process.take(leave_notice("i-1"))
         self.assertIs(self.owner.condition, Condition.SERVING)
-        self.process.take(farewell("i-1", born=9_000))
+        self.process.take(leave_notice("i-1", born=9_000))
         self.assertIs(self.owner.condition, Condition.LEAVING)
 
     async def test_failures_of_previous_instance(self) -> None:
--- a/tests/packets/test_cold_start.py
+++ b/tests/packets/test_cold_start.py
@@ -34,7 +34,7 @@
         self.taken: list[float] = []
         self.number = 0
 
-    def bring(self, *, now: float, wait_ms: int = 0) -> list:
+    def forward(self, *, now: float, wait_ms: int = 0) -> list:
         self.number += 1
         sent = packet(self.number, syn=True)
         frame = ForwardPacket(service="maps", payload=sent.raw, wait_ms=wait_ms)
@@ -59,7 +59,7 @@
         for burst in range(50):
             now = 1.0 + burst * 0.09 + draw.random() * 0.05
             for call in range(100):
-                self.bring(now=now + call / 100_000)
+                self.forward(now=now + call / 100_000)
         self.assertLessEqual(self.most_in_a_second(), PER_SECOND)
         # The limit is also used up.
         self.assertGreaterEqual(len(self.taken), 0.8 * PER_SECOND * 4)
@@ -67,8 +67,8 @@
     def test_waits_at_the_agent(self) -> None:
         """A flow that can wait is delivered as soon as the limit allows it."""
         for _ in range(10):
-            self.bring(now=1.0)
-        self.bring(now=1.2, wait_ms=1_000)
+            self.forward(now=1.0)
+        self.forward(now=1.2, wait_ms=1_000)
         self.assertEqual(len(self.taken), 10)
         self.note(self.owner.expire(now=2.01), now=2.01)
         self.assertEqual(len(self.taken), 11)
@@ -76,8 +76,8 @@
     def test_balancers_are_told(self) -> None:
         """A rejected SYN's load report keeps the balancer from sending more."""
         for _ in range(10):
-            self.bring(now=1.0)
-        (turned,) = frames(self.bring(now=1.1), SynRejected)
+            self.forward(now=1.0)
+        (turned,) = frames(self.forward(now=1.1), SynRejected)
         rig = SteeringRig(targets=1)
         rig.membership.table.learn(record("maps-1", host=1, slots=100), now=1.0)
         self.assertGreater(turned.load.in_flight, 100)
@@ -85,7 +85,7 @@
     def test_warm(self) -> None:
         """Targets that are warm or have no limit take what their slots allow."""
         for number in range(50):
-            self.bring(now=1.0 + COLD_SECONDS + number / 1_000)
+            self.forward(now=1.0 + COLD_SECONDS + number / 1_000)
         self.assertEqual(len(self.taken), 50)
         unlimited = ColdStartLimit()
         unlimited.until = 9.0
@@ -95,10 +95,10 @@
 
     def test_open_flows_go_on(self) -> None:
         """Packets of open flows do not count against the limit."""
-        self.bring(now=1.0)
+        self.forward(now=1.0)
         self.owner.from_target(answer(1, syn=True), now=1.0)
         for _ in range(9):
-            self.bring(now=1.0)
+            self.forward(now=1.0)
         sent = packet(1, size=10)
         carried = ForwardPacket(service="maps", payload=sent.raw)
         actions = self.owner.from_balancer(carried, sent, sender=BALANCER, now=1.1)
@@ -129,7 +129,7 @@
         rig = SteeringRig(targets=0)
         rig.membership.configure(self._configuration(7.5))
         announce = Announce(record=record("maps-1", host=1))
-        (told,) = rig.membership.from_process(
+        (reply,) = rig.membership.from_process(
             announce, sender=("10.2.0.1", 7720), now=1.0, draw=rig.draw
         )
-        self.assertEqual(told.frame.cold_per_second, 7.5)
+        self.assertEqual(reply.frame.cold_per_second, 7.5)
--- a/tests/packets/test_failure_rate.py
+++ b/tests/packets/test_failure_rate.py
@@ -56,11 +56,11 @@
 
     def ask(self, number: int, *, now: float) -> None:
         """Open a flow and send a request on it."""
-        self.bring(packet(number, syn=True), now=now)
+        self.forward(packet(number, syn=True), now=now)
         self.owner.from_target(answer(number, syn=True), now=now)
-        self.bring(packet(number, size=10), now=now)
+        self.forward(packet(number, size=10), now=now)
 
-    def bring(self, sent, *, now: float) -> None:
+    def forward(self, sent, *, now: float) -> None:
         self.owner.from_balancer(carry(sent), sent, sender=BALANCER, now=now)
 
     def failed(self, *, now: float) -> int:
@@ -81,9 +81,9 @@
         self.owner.load_reports(now=1.0)
         self.owner.from_target(answer(1, size=50, failure=True), now=1.1)
         with mock.patch.object(self.owner._reports._log, "note") as note:
-            news = self.owner.load_reports(now=1.1)
+            reports = self.owner.load_reports(now=1.1)
         self.assertEqual(note.call_args.args, ("target's failure rate rose",))
-        self.assertGreater(news[0].frame.load.failed_percent, 20)
+        self.assertGreater(reports[0].frame.load.failed_percent, 20)
 
     def test_failure_is_no_service_time(self) -> None:
         """A target that fails at once doesn't count as a fast one."""
@@ -184,19 +184,21 @@
 
     def test_fails_all(self) -> None:
         """A target that fails everything at once gets few requests."""
-        with_it = self.outcomes("one fails all", "product")
-        without = self.outcomes("one fails all", "product without evidence")
-        for sound, blind in zip(with_it, without, strict=True):
+        with_rates = self.outcomes("one fails all", "product")
+        without_rates = self.outcomes("one fails all", "product without evidence")
+        for using_rates, ignoring_rates in zip(with_rates, without_rates, strict=True):
             self.assertLess(
-                sound.failed_attempt_share, 0.2 * blind.failed_attempt_share
+                using_rates.failed_attempt_share,
+                0.2 * ignoring_rates.failed_attempt_share,
             )
-            self.assertGreater(sound.served, 0.998)
+            self.assertGreater(using_rates.served, 0.998)
 
     def test_fails_a_part(self) -> None:
         """A target that fails part of its requests gets fewer of them."""
-        with_it = self.outcomes("one fails 4 of 10", "product")
-        without = self.outcomes("one fails 4 of 10", "product without evidence")
-        for sound, blind in zip(with_it, without, strict=True):
+        with_rates = self.outcomes("one fails 4 of 10", "product")
+        without_rates = self.outcomes("one fails 4 of 10", "product without evidence")
+        for using_rates, ignoring_rates in zip(with_rates, without_rates, strict=True):
             self.assertLess(
-                sound.failed_attempt_share, 0.5 * blind.failed_attempt_share
+                using_rates.failed_attempt_share,
+                0.5 * ignoring_rates.failed_attempt_share,
             )
--- a/tests/packets/test_load_reports.py
+++ b/tests/packets/test_load_reports.py
@@ -24,7 +24,7 @@
         self.reports = LoadReports(load=self.load, log=LOG)
 
     def due(self, *, now: float) -> list[tuple[str, int]]:
-        found = self.reports.due(condition=SERVING, now=now)
+        found = self.reports.pop_due(condition=SERVING, now=now)
         return [report.endpoint for report in found]
 
     def test_reported_with_another_frame(self) -> None:
@@ -50,13 +50,13 @@
         """A change of the target's condition is reported at once."""
         self.reports.record_placement(BALANCER, now=1.0)
         self.due(now=1.0)
-        found = self.reports.due(condition=Condition.SHEDDING, now=1.01)
+        found = self.reports.pop_due(condition=Condition.SHEDDING, now=1.01)
         self.assertEqual([r.frame.load.condition for r in found], [Condition.SHEDDING])
 
     def test_forgotten(self) -> None:
         """Balancers that have placed nothing for a minute get no reports."""
         self.reports.record_placement(BALANCER, now=1.0)
-        self.reports.forget_idle(now=70.0)
+        self.reports.remove_idle(now=70.0)
         self.assertEqual(self.due(now=70.0), [])
 
     def test_budget(self) -> None:
@@ -86,7 +86,7 @@
 class SimulationTests(unittest.TestCase):
     """Simulations with one slot a target, runs of 16 ms and many balancers."""
 
-    def _play(self, **fields):
+    def _simulate(self, **fields):
         world = World(
             targets=24,
             slots=1,
@@ -101,12 +101,12 @@
 
     def test_mostly_idle(self) -> None:
         """With few slots in use, all answers are in time, with few reports."""
-        played = self._play(utilisation=0.27)
-        self.assertEqual(played.in_time, 1.0)
-        self.assertLess(played.reports / played.requests, 31 / 4)
+        outcome = self._simulate(utilisation=0.27)
+        self.assertEqual(outcome.in_time, 1.0)
+        self.assertLess(outcome.reports / outcome.requests, 31 / 4)
 
     def test_nearly_full(self) -> None:
         """With most slots in use, nearly all are in time, with few reports."""
-        played = self._play(utilisation=0.9)
-        self.assertGreater(played.in_time, 0.99)
-        self.assertLess(played.reports / played.requests, 24 / 4)
+        outcome = self._simulate(utilisation=0.9)
+        self.assertGreater(outcome.in_time, 0.99)
+        self.assertLess(outcome.reports / outcome.requests, 24 / 4)
--- a/tests/packets/test_owner.py
+++ b/tests/packets/test_owner.py
@@ -50,49 +50,49 @@
     def setUp(self) -> None:
         self.owner = owner()
 
-    def bring(self, sent, *, sender=BALANCER, now: float = 1.0, **fields) -> list:
+    def forward(self, sent, *, sender=BALANCER, now: float = 1.0, **fields) -> list:
         frame = carry(sent, **fields)
         return self.owner.from_balancer(frame, sent, sender=sender, now=now)
 
     def open(self, number: int = 1, *, now: float = 1.0) -> None:
         """Open a flow with a complete handshake."""
-        self.bring(packet(number, syn=True), now=now)
+        self.forward(packet(number, syn=True), now=now)
         self.owner.from_target(answer(number, syn=True), now=now)
-        self.bring(packet(number), now=now)
+        self.forward(packet(number), now=now)
 
 
-class OpeningTests(OwnerCase):
+class NewFlowTests(OwnerCase):
     """SYNs, and who owns the flow afterwards."""
 
     def test_handshake(self) -> None:
         """A SYN is delivered, its answer forwarded, and the balancer notified."""
-        self.assertEqual(kinds(self.bring(packet(syn=True))), [ToTarget])
+        self.assertEqual(kinds(self.forward(packet(syn=True))), [ToTarget])
         actions = self.owner.from_target(answer(syn=True), now=1.0)
         self.assertIn(ToCallerPacket, kinds(actions))
         self.assertEqual([f.is_open for f in frames(actions, FlowOwned)], [False])
-        actions = self.bring(packet(size=10))
+        actions = self.forward(packet(size=10))
         self.assertEqual([f.is_open for f in frames(actions, FlowOwned)], [True])
         self.assertEqual(delivered(actions), 1)
 
     def test_opened_at_another_target(self) -> None:
         """A packet that acknowledges another target's answer isn't delivered."""
-        self.bring(packet(syn=True))
+        self.forward(packet(syn=True))
         self.owner.from_target(answer(syn=True), now=1.0)
         for distance in (1 << 20, 1 << 30):
             other = TARGET_SEQUENCE + distance
-            actions = self.bring(packet(size=10, acknowledged=other))
+            actions = self.forward(packet(size=10, acknowledged=other))
             self.assertEqual(delivered(actions), 0)
             self.assertEqual(len(frames(actions, FlowNotOwned)), 1)
 
     def test_packet_before_the_target_has_answered(self) -> None:
         """A flow opened elsewhere is not owned while its SYN is pending."""
-        self.bring(packet(syn=True))
-        self.assertEqual(delivered(self.bring(packet(size=10))), 0)
+        self.forward(packet(syn=True))
+        self.assertEqual(delivered(self.forward(packet(size=10))), 0)
 
     def test_leaving_target_rejects_at_once(self) -> None:
         """A SYN for a leaving target is rejected with a reason."""
         self.owner.condition = Condition.LEAVING
-        actions = self.bring(packet(syn=True))
+        actions = self.forward(packet(syn=True))
         self.assertEqual([f.reason for f in frames(actions, SynRejected)], ["leaving"])
         self.assertEqual(delivered(actions), 0)
 
@@ -100,17 +100,17 @@
         """Packets of a leaving target's open flows are delivered."""
         self.open()
         self.owner.condition = Condition.LEAVING
-        self.assertEqual(delivered(self.bring(packet(size=10))), 1)
+        self.assertEqual(delivered(self.forward(packet(size=10))), 1)
 
     def test_another_service(self) -> None:
         """A SYN of another service, from a stale table, is never delivered."""
-        actions = self.bring(packet(syn=True), service="logs")
+        actions = self.forward(packet(syn=True), service="logs")
         self.assertEqual(delivered(actions), 0)
         self.assertEqual(len(frames(actions, SynRejected)), 1)
 
     def test_target_returns_syn(self) -> None:
         """A SYN that the target returns is rejected to the balancer."""
-        self.bring(packet(syn=True))
+        self.forward(packet(syn=True))
         actions = self.owner.from_target(packet(syn=True, returned=True), now=1.0)
         self.assertEqual(len(frames(actions, SynRejected)), 1)
         self.assertEqual(self.owner.flows, 0)
@@ -119,12 +119,12 @@
         """A full target gets at most one more SYN, and only after three rejections."""
         for number in (1, 2):
             self.open(number)
-            self.bring(packet(number, size=10))
-        first = self.bring(packet(3, syn=True))
+            self.forward(packet(number, size=10))
+        first = self.forward(packet(3, syn=True))
         self.assertEqual(len(frames(first, SynRejected)), 1)
         tried = ("a", "b", "c")
-        self.assertEqual(delivered(self.bring(packet(3, syn=True), tried=tried)), 1)
-        again = self.bring(packet(4, syn=True), tried=tried)
+        self.assertEqual(delivered(self.forward(packet(3, syn=True), tried=tried)), 1)
+        again = self.forward(packet(4, syn=True), tried=tried)
         self.assertEqual(len(frames(again, SynRejected)), 1)
 
 
@@ -135,28 +135,28 @@
         """An open flow's packets are delivered whichever balancer sends them."""
         self.open()
         sent = packet(size=10)
-        self.assertEqual(delivered(self.bring(sent, sender=OTHER_BALANCER)), 1)
+        self.assertEqual(delivered(self.forward(sent, sender=OTHER_BALANCER)), 1)
 
     def test_reply_for_open_flow(self) -> None:
         """A balancer that asks for a reply learns that the target owns the flow."""
         self.open()
-        actions = self.bring(packet(size=10), sender=OTHER_BALANCER, wants_reply=True)
+        actions = self.forward(packet(size=10), sender=OTHER_BALANCER, wants_reply=True)
         self.assertEqual(delivered(actions), 1)
         self.assertEqual([f.is_open for f in frames(actions, FlowOwned)], [True])
-        self.assertEqual(frames(self.bring(packet(size=10)), FlowOwned), [])
+        self.assertEqual(frames(self.forward(packet(size=10)), FlowOwned), [])
 
     def test_unknown_flow_is_not_owned(self) -> None:
         """An agent that knows all flows of its target reports others as not owned."""
-        actions = self.bring(packet(size=10))
+        actions = self.forward(packet(size=10))
         self.assertEqual(len(frames(actions, FlowNotOwned)), 1)
         self.assertEqual(delivered(actions), 0)
         self.assertTrue(frames(actions, FlowNotOwned)[0].payload)
-        asked = self.bring(packet(size=10), wants_reply=True)
+        asked = self.forward(packet(size=10), wants_reply=True)
         self.assertEqual(frames(asked, FlowNotOwned)[0].payload, b"")
 
     def test_end_of_a_target_that_only_answered_a_syn(self) -> None:
         """A flow that may have opened at another target is not reset."""
-        self.bring(packet(syn=True))
+        self.forward(packet(syn=True))
         self.owner.from_target(answer(syn=True), now=1.0)
         self.assertEqual(self.owner.target_ended(now=2.0), [])
 
@@ -166,7 +166,7 @@
         actions = self.owner.instance_started(b"i-2", is_first=True, now=2.0)
         self.assertEqual(kinds(actions), [ResetFlow])
         self.assertEqual(actions[0].acknowledged, TARGET_SEQUENCE + 1)
-        denied = self.bring(packet(size=10))
+        denied = self.forward(packet(size=10))
         self.assertEqual(len(frames(denied, FlowNotOwned)), 1)
 
 
@@ -178,14 +178,14 @@
 
     def test_target_answers(self) -> None:
         """A flow that the target answers on is owned."""
-        self.assertEqual(delivered(self.bring(packet(size=10))), 1)
+        self.assertEqual(delivered(self.forward(packet(size=10))), 1)
         actions = self.owner.from_target(answer(size=10), now=1.1)
         self.assertEqual([f.is_open for f in frames(actions, FlowOwned)], [True])
 
     def test_target_returns_probe(self) -> None:
         """A probe that the target returns is reported to its sender as not owned."""
         sent = packet(size=10)
-        self.bring(sent, sender=OTHER_BALANCER)
+        self.forward(sent, sender=OTHER_BALANCER)
         back = packet(size=10, returned=True)
         actions = self.owner.from_target(back, now=1.1)
         self.assertEqual([a.endpoint for a in actions], [OTHER_BALANCER])
@@ -193,21 +193,21 @@
 
     def test_target_resets_a_flow_of_another(self) -> None:
         """A reset for a flow that another target may own is not forwarded."""
-        self.bring(packet(size=10))
+        self.forward(packet(size=10))
         actions = self.owner.from_target(answer(reset=True), now=1.1)
         self.assertNotIn(ToCallerPacket, kinds(actions))
         self.assertEqual(len(frames(actions, FlowNotOwned)), 1)
 
     def test_another_service_is_not_probed(self) -> None:
         """A packet of another service is not probed."""
-        actions = self.bring(packet(size=10), service="logs")
+        actions = self.forward(packet(size=10), service="logs")
         self.assertEqual(delivered(actions), 0)
 
     def test_address_that_the_target_serves(self) -> None:
         """Without a configuration, the target's own packets show what it serves."""
-        self.assertEqual(delivered(self.bring(packet(size=10), service="*")), 0)
+        self.assertEqual(delivered(self.forward(packet(size=10), service="*")), 0)
         self.owner.from_target(answer(7, size=10), now=1.0)
-        self.assertEqual(delivered(self.bring(packet(size=10), service="*")), 1)
+        self.assertEqual(delivered(self.forward(packet(size=10), service="*")), 1)
 
     def test_relay(self) -> None:
         """Other agents get the packet and the balancer to reply to."""
@@ -222,16 +222,16 @@
         """An agent reports the flows it owns, and whether the answer is conclusive."""
         self.owner.from_target(answer(7, size=10), now=1.0)
         flows = (packet(7).flow, packet(8).flow)
-        said = self.owner.answer(
+        reply = self.owner.query_reply(
             OwnershipQuery(question=4, service="maps", flows=flows), now=1.0
         )
-        self.assertEqual((said.question, said.held), (4, flows[:1]))
-        self.assertFalse(said.is_conclusive)
-        other = self.owner.answer(
+        self.assertEqual((reply.question, reply.held), (4, flows[:1]))
+        self.assertFalse(reply.is_conclusive)
+        other = self.owner.query_reply(
             OwnershipQuery(question=5, service="logs", flows=flows), now=1.0
         )
         self.assertTrue(other.is_conclusive)
-        sure = owner().answer(
+        sure = owner().query_reply(
             OwnershipQuery(question=6, service="maps", flows=flows), now=1.0
         )
         self.assertEqual((sure.held, sure.is_conclusive), ((), True))
@@ -239,44 +239,46 @@
     def test_query_before_first_heartbeat(self) -> None:
         """A query waits for the target's first heartbeat, but not for long."""
         question = OwnershipQuery(question=8, service="maps", flows=(packet().flow,))
-        made = PacketFlowOwner(
+        agent = PacketFlowOwner(
             name="m", service="maps", slots=2, connections=9, log=LOG
         )
-        self.assertEqual(made.ask(question, sender=BALANCER, now=1.0), [])
-        self.assertEqual(made.answer_pending(now=1.2), [])
-        late = made.answer_pending(now=1.3)
+        self.assertEqual(agent.handle_query(question, sender=BALANCER, now=1.0), [])
+        self.assertEqual(agent.reply_to_pending_queries(now=1.2), [])
+        late = agent.reply_to_pending_queries(now=1.3)
         self.assertEqual(frames(late, OwnershipReply)[0].run_ms, None)
-        self.assertEqual(made.ask(question, sender=BALANCER, now=1.4), [])
-        made.instance_started(b"i-1", is_first=False, is_young=True, now=1.5)
-        soon = made.answer_pending(now=1.5)
+        self.assertEqual(agent.handle_query(question, sender=BALANCER, now=1.4), [])
+        agent.instance_started(b"i-1", is_first=False, is_young=True, now=1.5)
+        soon = agent.reply_to_pending_queries(now=1.5)
         self.assertEqual(frames(soon, OwnershipReply)[0].run_ms, 0)
-        self.assertEqual(made.answer_pending(now=9.0), [])
+        self.assertEqual(agent.reply_to_pending_queries(now=9.0), [])
 
     def test_age_of_instance(self) -> None:
         """An instance that had just started when first seen has a known age."""
         question = OwnershipQuery(question=7, service="maps", flows=(packet().flow,))
-        self.assertIsNone(self.owner.answer(question, now=3.0).run_ms)
+        self.assertIsNone(self.owner.query_reply(question, now=3.0).run_ms)
         young = owner(is_first=False)
         young.instance_started(b"i-9", is_first=False, now=2.0)
-        self.assertEqual(young.answer(question, now=3.0).run_ms, 1000)
-        met = PacketFlowOwner(name="m", service="maps", slots=2, connections=9, log=LOG)
-        met.instance_started(b"i-1", is_first=False, is_young=True, now=2.5)
-        said = met.answer(question, now=3.0)
-        self.assertEqual((said.run_ms, said.is_conclusive), (500, False))
+        self.assertEqual(young.query_reply(question, now=3.0).run_ms, 1000)
+        early = PacketFlowOwner(
+            name="m", service="maps", slots=2, connections=9, log=LOG
+        )
+        early.instance_started(b"i-1", is_first=False, is_young=True, now=2.5)
+        reply = early.query_reply(question, now=3.0)
+        self.assertEqual((reply.run_ms, reply.is_conclusive), (500, False))
 
     def test_query_for_opening_flow(self) -> None:
         """A flow is owned once its SYN is answered.
 
         The packet that opens it may come through another balancer.
         """
-        made = owner()
-        self.owner = made
-        self.bring(packet(syn=True))
+        agent = owner()
+        self.owner = agent
+        self.forward(packet(syn=True))
         flows = (packet().flow,)
         question = OwnershipQuery(question=1, service="maps", flows=flows)
-        self.assertEqual(made.answer(question, now=1.0).held, ())
-        made.from_target(answer(syn=True), now=1.0)
-        self.assertEqual(made.answer(question, now=1.0).held, flows)
+        self.assertEqual(agent.query_reply(question, now=1.0).held, ())
+        agent.from_target(answer(syn=True), now=1.0)
+        self.assertEqual(agent.query_reply(question, now=1.0).held, flows)
 
 
 class AbsentTargetTests(unittest.TestCase):
@@ -290,7 +292,7 @@
 
     def answer(self, *, now: float) -> OwnershipReply:
         question = OwnershipQuery(question=1, service="maps", flows=(packet().flow,))
-        return self.owner.answer(question, now=now)
+        return self.owner.query_reply(question, now=now)
 
     def test_reports_absence(self) -> None:
         """Its replies are inconclusive at first, and report that nothing listens."""
@@ -303,7 +305,7 @@
         self.owner.note_no_listener(now=1.0 + ABSENT_SECONDS)
         self.assertTrue(self.answer(now=1.0 + ABSENT_SECONDS).is_conclusive)
         question = OwnershipQuery(question=1, service="maps", flows=(packet().flow,))
-        answered = self.owner.ask(question, sender=BALANCER, now=9.0)
+        answered = self.owner.handle_query(question, sender=BALANCER, now=9.0)
         self.assertEqual(len(frames(answered, OwnershipReply)), 1)
 
     def test_target_that_appears(self) -> None:
@@ -324,7 +326,7 @@
         self.open()
         self.owner.tick(now=2.0)
         self.assertEqual(self.owner.busy, 0)
-        self.bring(packet(size=10), now=2.0)
+        self.forward(packet(size=10), now=2.0)
         self.assertEqual(self.owner.busy, 1)
         self.owner.from_target(answer(size=10), now=2.05)
         self.assertEqual(self.owner.busy, 0)
@@ -334,7 +336,7 @@
         """The wait of a request that found all slots taken is not service time."""
         for number in (1, 2, 3):
             self.open(number)
-            self.bring(packet(number, size=10), now=2.0)
+            self.forward(packet(number, size=10), now=2.0)
         for number, seconds in ((1, 2.05), (2, 2.05), (3, 2.4)):
             self.owner.from_target(answer(number, size=10), now=seconds)
         self.assertEqual(self.owner.load(now=2.5).service_ms, 50)
@@ -342,11 +344,11 @@
     def test_retransmission_after_the_answer(self) -> None:
         """A late retransmission of an answered request doesn't count as another."""
         self.open()
-        self.bring(packet(size=10), now=2.0)
+        self.forward(packet(size=10), now=2.0)
         self.owner.from_target(answer(size=10), now=2.05)
-        self.bring(packet(size=10), now=2.2)
+        self.forward(packet(size=10), now=2.2)
         self.assertEqual(self.owner.busy, 0)
-        self.bring(packet(size=10, sequence=1_010), now=2.3)
+        self.forward(packet(size=10, sequence=1_010), now=2.3)
         self.assertEqual(self.owner.busy, 1)
 
     def test_fin_overtakes_request(self) -> None:
@@ -355,8 +357,8 @@
         The target closes without a run, so no answer would free the slot.
         """
         self.open()
-        self.bring(packet(fin=True, sequence=1_010), now=1.01)
-        self.bring(packet(size=10), now=1.01)
+        self.forward(packet(fin=True, sequence=1_010), now=1.01)
+        self.forward(packet(size=10), now=1.01)
         self.assertEqual(self.owner.busy, 0)
         self.owner.from_target(answer(fin=True), now=1.02)
         self.assertEqual(self.owner.load(now=1.1).failed_percent, 0)
@@ -364,7 +366,7 @@
     def test_target_closes_without_an_answer(self) -> None:
         """A request that the target closes without an answer frees its slot."""
         self.open()
-        self.bring(packet(size=10), now=1.01)
+        self.forward(packet(size=10), now=1.01)
         self.assertEqual(self.owner.busy, 1)
         self.owner.from_target(answer(fin=True), now=1.02)
         self.assertEqual(self.owner.busy, 0)
@@ -372,7 +374,7 @@
     def test_fin_overtakes_answer(self) -> None:
         """A target's FIN that overtakes its answer is not a failure."""
         self.open()
-        self.bring(packet(size=10), now=1.0)
+        self.forward(packet(size=10), now=1.0)
         end = answer(fin=True, sequence=TARGET_SEQUENCE + 2_001)
         self.owner.from_target(end, now=1.05)
         self.assertEqual(self.owner.busy, 1)
@@ -382,7 +384,7 @@
 
     def test_opened_elsewhere(self) -> None:
         """A slot is not kept for long for a flow that doesn't open here."""
-        self.bring(packet(syn=True), now=1.0)
+        self.forward(packet(syn=True), now=1.0)
         self.assertEqual(self.owner.busy, 1)
         self.owner.tick(now=1.2)
         self.assertEqual(self.owner.busy, 0)
@@ -390,21 +392,23 @@
     def test_reports_to_placing_balancers(self) -> None:
         """Balancers that send SYNs get a report of each change of load once."""
         self.open()
-        self.bring(packet(syn=True, number=2), sender=OTHER_BALANCER)
-        news = self.owner.load_reports(now=1.1)
-        self.assertEqual({n.endpoint for n in news}, {BALANCER, OTHER_BALANCER})
-        self.assertEqual([f.load.in_flight for f in frames(news, LoadUpdate)], [2, 2])
+        self.forward(packet(syn=True, number=2), sender=OTHER_BALANCER)
+        reports = self.owner.load_reports(now=1.1)
+        self.assertEqual({n.endpoint for n in reports}, {BALANCER, OTHER_BALANCER})
+        self.assertEqual(
+            [f.load.in_flight for f in frames(reports, LoadUpdate)], [2, 2]
+        )
         self.assertEqual(self.owner.load_reports(now=1.2), [])
 
     def test_counts_return_to_zero(self) -> None:
         """When all flows have ended, nothing counts as busy or open."""
         for number in range(20):
             self.open(number, now=1.0)
-            self.bring(packet(number, size=10, fin=number % 2 == 0), now=1.0)
+            self.forward(packet(number, size=10, fin=number % 2 == 0), now=1.0)
             if number % 3 == 0:
                 self.owner.from_target(answer(number, size=5, fin=True), now=1.0)
             if number % 5 == 0:
-                self.bring(packet(number, reset=True), now=1.0)
+                self.forward(packet(number, reset=True), now=1.0)
         self.owner.tick(now=100.0)
         load = self.owner.load(now=100.0)
         self.assertEqual((load.in_flight, load.flows, self.owner.flows), (0, 0, 0))
--- a/tests/packets/test_run_times.py
+++ b/tests/packets/test_run_times.py
@@ -23,7 +23,7 @@
             if sent.is_syn:
                 self.owner.from_target(answer(number, syn=True), now=now)
 
-    def play(self, *, runs: int, seconds: float) -> None:
+    def run_requests(self, *, runs: int, seconds: float) -> None:
         for _ in range(runs):
             self.ask(self.number + 1, now=self.now + seconds / 2)
             self.now += seconds
@@ -33,35 +33,35 @@
 
     def test_estimated_while_all_slots_are_taken(self) -> None:
         """The time that a request waited at the target is left out."""
-        self.play(runs=40, seconds=self.RUN_SECONDS)
-        learnt = self.owner.target_load.run_seconds
-        self.assertAlmostEqual(learnt, self.RUN_SECONDS, delta=0.002)
+        self.run_requests(runs=40, seconds=self.RUN_SECONDS)
+        estimate = self.owner.target_load.run_seconds
+        self.assertAlmostEqual(estimate, self.RUN_SECONDS, delta=0.002)
 
     def test_target_that_turns_slow(self) -> None:
         """The estimate follows a target that becomes slower under full load."""
-        self.play(runs=10, seconds=self.RUN_SECONDS)
-        self.play(runs=40, seconds=3 * self.RUN_SECONDS)
-        learnt = self.owner.target_load.run_seconds
-        self.assertAlmostEqual(learnt, 3 * self.RUN_SECONDS, delta=0.01)
+        self.run_requests(runs=10, seconds=self.RUN_SECONDS)
+        self.run_requests(runs=40, seconds=3 * self.RUN_SECONDS)
+        estimate = self.owner.target_load.run_seconds
+        self.assertAlmostEqual(estimate, 3 * self.RUN_SECONDS, delta=0.01)
 
     def test_request_without_an_answer(self) -> None:
         """The estimate goes on after a caller has reset its flow."""
-        self.play(runs=10, seconds=self.RUN_SECONDS)
+        self.run_requests(runs=10, seconds=self.RUN_SECONDS)
         sent = packet(self.number, reset=True)
         self.owner.from_balancer(carry(sent), sent, sender=BALANCER, now=self.now)
         self.number += 1
         self.ask(self.number, now=self.now)
-        self.play(runs=60, seconds=3 * self.RUN_SECONDS)
-        learnt = self.owner.target_load.run_seconds
-        self.assertAlmostEqual(learnt, 3 * self.RUN_SECONDS, delta=0.01)
+        self.run_requests(runs=60, seconds=3 * self.RUN_SECONDS)
+        estimate = self.owner.target_load.run_seconds
+        self.assertAlmostEqual(estimate, 3 * self.RUN_SECONDS, delta=0.01)
 
     def test_failures_are_ignored(self) -> None:
         """A request that fails at once doesn't change the estimate."""
-        self.play(runs=40, seconds=self.RUN_SECONDS)
+        self.run_requests(runs=40, seconds=self.RUN_SECONDS)
         failed = answer(self.number, size=50, failure=True)
         self.owner.from_target(failed, now=self.now + 0.001)
-        learnt = self.owner.target_load.run_seconds
-        self.assertAlmostEqual(learnt, self.RUN_SECONDS, delta=0.002)
+        estimate = self.owner.target_load.run_seconds
+        self.assertAlmostEqual(estimate, self.RUN_SECONDS, delta=0.002)
 
 
 if __name__ == "__main__":
--- a/tests/packets/test_slot_use.py
+++ b/tests/packets/test_slot_use.py
@@ -18,12 +18,12 @@
         self.owner = owner(slots=1)
         self.use = self.owner.target_load.use
         self.owner.tick(now=1.0)
-        self.bring(1, syn=True, now=1.0)
+        self.forward(1, syn=True, now=1.0)
         self.open_and_ask(1, now=1.0)
-        self.bring(2, syn=True, now=1.01)
+        self.forward(2, syn=True, now=1.01)
         self.finish(1, now=1.1)
 
-    def bring(self, number: int, *, now: float, **fields) -> None:
+    def forward(self, number: int, *, now: float, **fields) -> None:
         sent = packet(number, **fields)
         frame = ForwardPacket(
             service="maps", payload=sent.raw, in_time_ms=1_000, wait_ms=1_000
@@ -32,7 +32,7 @@
 
     def open_and_ask(self, number: int, *, now: float) -> None:
         self.owner.from_target(answer(number, syn=True), now=now)
-        self.bring(number, size=10, now=now)
+        self.forward(number, size=10, now=now)
 
     def finish(self, number: int, *, now: float) -> None:
         self.owner.from_target(answer(number, size=50), now=now)
@@ -51,7 +51,7 @@
 
     def test_silent_caller(self) -> None:
         """A slot kept for a silent caller while another flow waits is counted."""
-        self.bring(3, syn=True, now=1.1)
+        self.forward(3, syn=True, now=1.1)
         self.owner.from_target(answer(2, syn=True), now=1.1)
         self.owner.expire(now=1.1 + GONE_SECONDS)
         total = self.use.total
@@ -63,7 +63,7 @@
         """A silent caller keeps no slot while another request runs on it."""
         self.open_and_ask(2, now=1.1)
         self.owner.target_load.busy -= 1  # so that one more is delivered
-        self.bring(3, syn=True, now=1.1)
+        self.forward(3, syn=True, now=1.1)
         self.owner.target_load.busy += 1
         self.owner.from_target(answer(3, syn=True), now=1.1)
         self.owner.expire(now=1.1 + GONE_SECONDS)
@@ -80,8 +80,8 @@
 
     def test_metrics(self) -> None:
         """The metrics have the use of the slots and the waiting flows."""
-        readings = self.owner.target_load.readings
-        lines = expose(lambda: readings).decode().splitlines()
+        metrics = self.owner.target_load.metrics
+        lines = expose(lambda: metrics).decode().splitlines()
         for line in (
             "monsoonpier_slots 1.0",
             'monsoonpier_queued_flows{class="in_time"} 0.0',
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -209,7 +209,7 @@
 
     # Packets
 
-    def _carry(self, call, *arguments) -> None:
+    def _transmit(self, call, *arguments) -> None:
         network, draw = self.network, self.draw
         if network.drop_first > 0:
             network.drop_first -= 1
@@ -228,7 +228,7 @@
     def _flush(self, session: FlowSession) -> None:
         outbox, session.outbox = session.outbox, []
         for data in outbox:
-            self._carry(self._to_balancer, data)
+            self._transmit(self._to_balancer, data)
 
     def _to_balancer(self, data: bytes) -> None:
         chosen = self.draw.choice(self.balancers)
@@ -242,7 +242,7 @@
             case ToAgent(endpoint=endpoint, frame=frame):
                 self.at(DELAY, self._to_agent, chosen, endpoint, frame)
             case ToCaller(payload=payload):
-                self._carry(self._to_caller, payload)
+                self._transmit(self._to_caller, payload)
 
     def _to_agent(self, via: Balancer, endpoint, frame) -> None:
         for name, of in self.records.items():
@@ -294,9 +294,9 @@
     def _to_caller(self, data: bytes) -> None:
         for session in self.sessions:
             if session.flow in data[:24]:
-                self._take(session, session.receive(data, now=self.now))
+                self._handle_events(session, session.receive(data, now=self.now))
 
-    def _take(self, session: FlowSession, events: list) -> None:
+    def _handle_events(self, session: FlowSession, events: list) -> None:
         for event in events:
             match event:
                 case RequestEnded(request=number, outcome=outcome):
@@ -317,9 +317,11 @@
         if result is None:
             body = b"answer to " + run.body
             result = actions.Answered(status=200, body=body, seconds=seconds)
-        self.at(seconds, self._ended, agent, self.holders[agent], run.key, result)
+        self.at(
+            seconds, self._deliver_result, agent, self.holders[agent], run.key, result
+        )
 
-    def _ended(self, agent: str, of: FlowOwner, key, result) -> None:
+    def _deliver_result(self, agent: str, of: FlowOwner, key, result) -> None:
         # A process that was killed in the meantime receives no result.
         if self.holders.get(agent) is of and agent not in self.dead:
             if key in self._aborted:
@@ -336,4 +338,4 @@
         self.at(TICK, self._tick)
 
     def _poll(self, session: FlowSession) -> None:
-        self._take(session, session.poll(now=self.now))
+        self._handle_events(session, session.poll(now=self.now))
