--- a/monsoonpier/agent/heartbeat_peers.py
+++ b/monsoonpier/agent/heartbeat_peers.py
@@ -97,7 +97,7 @@
         """Return an epoch above the balancer's record of this agent.
 
         Returns:
-            ``None`` if ``epoch`` is not below the balancer's record.
+            ``None`` if the recorded epoch is not later than ``epoch``.
         """
         return ack.known_epoch + 1 if ack.known_epoch > epoch else None
 
--- a/monsoonpier/agent/packets/admission.py
+++ b/monsoonpier/agent/packets/admission.py
@@ -1,8 +1,7 @@
 """Decides which new flows without a token an agent delivers to its target.
 
 A SYN that finds a free slot is delivered. Otherwise it waits in a short queue,
-or is rejected at once with the target's present load if the queue has no room
-for it.
+or is rejected at once with the target's present load if the queue is full.
 
 While balancers have reserved slots for flows that wait there, free slots are
 offered to these in the order of all waiting flows (see `reservations`).
--- a/monsoonpier/agent/packets/expected_packets.py
+++ b/monsoonpier/agent/packets/expected_packets.py
@@ -1,7 +1,7 @@
 """Timeout after which a slot is no longer kept for a silent caller.
 
 After the target has answered a caller's SYN, a slot is kept for the caller's
-first request. A caller that has given up does not say so, and the slot would
+first request. A caller that has given up sends nothing, and the slot would
 stay empty. The timeout follows the measured response times, as TCP's
 retransmission timeout does (RFC 6298).
 """
--- a/monsoonpier/agent/packets/instance_history.py
+++ b/monsoonpier/agent/packets/instance_history.py
@@ -88,9 +88,10 @@
         return instance.born_ms is not None and instance.born_ms > current.born_ms
 
     def _confirm(self, heartbeat: TargetHeartbeat) -> bool:
-        """Count a heartbeat of an unconfirmed instance; return whether it confirms it.
+        """Count a heartbeat of an unconfirmed instance; return whether it is confirmed.
 
-        The count starts again when a heartbeat of another instance arrives.
+        The count starts again when a heartbeat of the current instance, or of
+        another unconfirmed one, arrives.
         """
         if heartbeat.run != self._unconfirmed:
             self._clear_unconfirmed()
--- a/monsoonpier/agent/packets/instance_state.py
+++ b/monsoonpier/agent/packets/instance_state.py
@@ -38,7 +38,7 @@
     def observe_first(
         self, instance: bytes, *, is_first: bool, is_young: bool, now: float
     ) -> None:
-        """Record the first instance that the agent learns of.
+        """Record the first instance from which a heartbeat arrives.
 
         Args:
             instance: Identifies the instance.
--- a/monsoonpier/agent/packets/owner.py
+++ b/monsoonpier/agent/packets/owner.py
@@ -225,7 +225,7 @@
         return []
 
     def reply_to_pending_queries(self, *, now: float) -> list[ToProcess]:
-        """Reply to the queued queries if the target is known or the wait is over."""
+        """Reply to the queued queries once the target is known or the wait is over."""
         if (
             not self._target_state.instance
             and now - self._first_query_at < MAX_QUERY_WAIT_SECONDS
@@ -348,13 +348,13 @@
         The agents reply directly to the balancer that sent the packet.
         """
         self.counts_by_result["passed_on"] += len(frame.endpoints)
-        carry = ForwardPacket(
+        relayed = ForwardPacket(
             service=frame.service,
             payload=frame.payload,
             wants_reply=True,
             reply_to=balancer,
         )
-        return [ToProcess(endpoint=place, frame=carry) for place in frame.endpoints]
+        return [ToProcess(endpoint=agent, frame=relayed) for agent in frame.endpoints]
 
     def _handle_syn(
         self,
@@ -398,8 +398,8 @@
             )
         self._admission.record_response_time(now - flow.phase_began_at)
         self._mark_open(packet.flow, flow, now=now)
-        held = self._owned_reply(packet.flow, sender=sender, is_open=True, now=now)
-        return [held, *self._deliver(packet, flow, now=now)]
+        reply = self._owned_reply(packet.flow, sender=sender, is_open=True, now=now)
+        return [reply, *self._deliver(packet, flow, now=now)]
 
     def _mark_open(self, address: bytes, flow: PacketFlow, *, now: float) -> None:
         """Record that the caller has completed the handshake."""
--- a/monsoonpier/agent/packets/process.py
+++ b/monsoonpier/agent/packets/process.py
@@ -301,8 +301,8 @@
     def _on_target_up(self) -> None:
         """Serve a target that listens although no heartbeat has arrived yet.
 
-        A draining target will say so in its next heartbeat, within about a
-        second.
+        If the target is draining, its next heartbeat, within about a second,
+        will report it.
         """
         if self._owner.condition is Condition.STARTING:
             self._lifecycle.step("configured")
--- a/monsoonpier/agent/packets/queue.py
+++ b/monsoonpier/agent/packets/queue.py
@@ -68,7 +68,7 @@
         run_seconds: float,
         now: float,
     ) -> QueuedSyn | None:
-        """Add a SYN; return the SYN that the queue has no room for, if any.
+        """Add a SYN; remove and return the last SYN if the queue is too long.
 
         Args:
             frame: The frame that contains the SYN and its time limits.
--- a/monsoonpier/agent/packets/reservations.py
+++ b/monsoonpier/agent/packets/reservations.py
@@ -1,6 +1,6 @@
 """Slots that balancers reserve for waiting flows, and offers of them.
 
-When there are more flows than slots, every balancer that learns of a free
+When there are more flows than slots, every balancer that is notified of a free
 slot would send a flow, and all but one would be rejected. Instead a flow waits
 at its balancer, which reserves a slot at a few agents. An agent with a free
 slot offers it to the balancer whose flow comes first in the order of all that
--- a/monsoonpier/model/evacuation.py
+++ b/monsoonpier/model/evacuation.py
@@ -6,7 +6,7 @@
 centre wins, so the known state never goes back.
 
 A store that was restored from a backup may lack an order until the operator
-writes it again. An order of an earlier generation therefore stays in force
+writes it again. An order of an earlier generation therefore stays active
 until a conclusive read in the newer generation does not find it: sending flows
 to a data centre that is being evacuated is worse than sending it none for a
 few more seconds.
@@ -23,8 +23,8 @@
 
 __all__ = ["MAX_EVACUATIONS", "Evacuation", "Evacuations", "evacuation"]
 
-# Every gossip datagram has all orders, so their number must leave room for
-# records.
+# Every gossip datagram has all orders, so their number is limited to leave
+# space for records.
 MAX_EVACUATIONS = 16
 
 
@@ -68,12 +68,12 @@
 
     Attributes:
         known: The latest order on each data centre that ever had one.
-        read_at: The store's revision of the newest full read. If no order on a
-            data centre is known, an update on it is ignored if it has the same
-            generation and isn't newer than this read.
-        concluded_at: The revision of the newest conclusive read. Such an
-            update is ignored, whatever its generation, if it isn't newer than
-            this read.
+        read_at: The store's revision of the newest full read. For data
+            centres without a known order, updates of the same generation are
+            ignored unless they are newer than this read.
+        concluded_at: The revision of the newest conclusive read. For data
+            centres without a known order, updates of any generation are
+            ignored unless they are newer than this read.
     """
 
     known: tuple[Evacuation, ...] = ()
@@ -135,7 +135,7 @@
                 order that the read did not find has been deleted.
             is_conclusive: Whether operators have had the time to write again
                 what the store lost in a restore. Otherwise an order of an
-                earlier generation stays in force even if the read did not find
+                earlier generation stays active even if the read did not find
                 it.
         """
         found = [
--- a/monsoonpier/model/waiting_summary.py
+++ b/monsoonpier/model/waiting_summary.py
@@ -30,8 +30,8 @@
         late: Waiting flows that can't.
         oldest_seconds: The longest wait since a caller's first attempt.
         waited_seconds: The sum of the waits since the callers' first attempts.
-        expected_seconds: How long one more flow would wait for a slot, as far
-            as this balancer knows; ``None`` while no target serves.
+        expected_seconds: How long another flow would wait for a slot, as
+            estimated by this balancer; ``None`` while no target serves.
         asked: Flows so far.
         served_late: Flows so far that a target accepted after their latency
             target.
--- a/tests/packets/test_admission.py
+++ b/tests/packets/test_admission.py
@@ -88,14 +88,14 @@
             self.owner.expire(now=1.02),
             self.forward(4, now=1.03, sender=OTHER_BALANCER),
         ):
-            (turned,) = frames(actions, SynRejected)
-            self.assertEqual(turned.reason, "data centre evacuated")
+            (rejection,) = frames(actions, SynRejected)
+            self.assertEqual(rejection.reason, "data centre evacuated")
             # The load informs a balancer that hasn't received the order.
-            self.assertIs(turned.load.condition, Condition.SHEDDING)
+            self.assertIs(rejection.load.condition, Condition.SHEDDING)
         sent = packet(1, size=10, sequence=2_000)
-        carried = ForwardPacket(service="maps", payload=sent.raw)
-        kept = self.owner.from_balancer(carried, sent, sender=BALANCER, now=1.04)
-        self.assertEqual([action.raw for action in kept], [sent.raw])
+        frame = ForwardPacket(service="maps", payload=sent.raw)
+        delivered = self.owner.from_balancer(frame, sent, sender=BALANCER, now=1.04)
+        self.assertEqual([action.raw for action in delivered], [sent.raw])
 
     def test_no_longer_evacuated(self) -> None:
         """After the order is revoked, new flows wait and are delivered again."""
@@ -117,8 +117,8 @@
         self.forward(3, now=1.01, in_time_ms=0)
         self.forward(4, now=1.01)
         actions = self.forward(5, now=1.02, sender=OTHER_BALANCER)
-        (turned,) = frames(actions, SynRejected)
-        self.assertEqual(turned.payload, packet(3, syn=True).raw)
+        (rejection,) = frames(actions, SynRejected)
+        self.assertEqual(rejection.payload, packet(3, syn=True).raw)
         self.assertEqual(len(frames(actions, SynQueued)), 1)
 
     def test_full_of_equals(self) -> None:
@@ -126,9 +126,9 @@
         self.forward(3, now=1.01)
         self.forward(4, now=1.02)
         actions = self.forward(5, now=1.03)
-        (turned,) = frames(actions, SynRejected)
-        self.assertEqual(turned.payload, packet(5, syn=True).raw)
-        self.assertEqual(turned.load.queued, 2)
+        (rejection,) = frames(actions, SynRejected)
+        self.assertEqual(rejection.payload, packet(5, syn=True).raw)
+        self.assertEqual(rejection.load.queued, 2)
 
     def test_retransmission_of_queued_syn(self) -> None:
         """A retransmission takes no second place, and its balancer is notified."""
@@ -145,8 +145,8 @@
         """A SYN for which no slot came free is rejected when its wait is over."""
         self.forward(3, now=1.01, wait_ms=300)
         self.assertEqual(self.owner.tick(now=1.2), [])
-        (turned,) = frames(self.owner.tick(now=1.32), SynRejected)
-        self.assertEqual(turned.reason, "no slot came free")
+        (rejection,) = frames(self.owner.tick(now=1.32), SynRejected)
+        self.assertEqual(rejection.reason, "no slot came free")
 
     def test_leaving_target(self) -> None:
         """A leaving target takes none of the queued SYNs."""
@@ -179,8 +179,8 @@
     def test_not_sent_elsewhere(self) -> None:
         """While it waits, it and its retransmissions go to no other target."""
         self.assertEqual(self.retry(now=CONVERGED + 0.2), [])
-        copy = replace(packet(syn=True), waited=0.2)
-        actions = self.rig.caller(copy, now=CONVERGED + 0.2)
+        retransmission = replace(packet(syn=True), waited=0.2)
+        actions = self.rig.caller(retransmission, now=CONVERGED + 0.2)
         self.assertEqual(self.rig.names(actions), [self.first])
 
     def test_unresponsive_agent(self) -> None:
@@ -289,8 +289,8 @@
             agent.from_target(answer(number, syn=True), now=now)
             now += handshake
             sent = packet(number, size=10)
-            carried = ForwardPacket(service="maps", payload=sent.raw)
-            agent.from_balancer(carried, sent, sender=BALANCER, now=now)
+            frame = ForwardPacket(service="maps", payload=sent.raw)
+            agent.from_balancer(frame, sent, sender=BALANCER, now=now)
             if number == 1:
                 now += run
                 agent.from_target(answer(number, size=50), now=now)
--- a/tests/packets/test_agent_process.py
+++ b/tests/packets/test_agent_process.py
@@ -86,7 +86,7 @@
         self.assertIs(self.owner.condition, Condition.GONE)
 
     async def test_stopped_without_a_target(self) -> None:
-        """An agent that never found a target announces that, once certain.
+        """An agent that found no target announces its absence once that is certain.
 
         Otherwise balancers get no reply on flows that its target may have
         owned.
@@ -103,7 +103,7 @@
         self.assertIs(self.owner.condition, Condition.GONE)
 
     async def test_stopped_before_first_check(self) -> None:
-        """An agent that is stopped before its first check waits for certainty."""
+        """An agent stopped before its first check waits until absence is certain."""
         self.process._lifecycle.step("terminate")
         leaving = asyncio.create_task(self.process._shut_down())
         await asyncio.sleep(0.05)
--- a/tests/packets/test_cold_start.py
+++ b/tests/packets/test_cold_start.py
@@ -77,10 +77,10 @@
         """A rejected SYN's load report keeps the balancer from sending more."""
         for _ in range(10):
             self.forward(now=1.0)
-        (turned,) = frames(self.forward(now=1.1), SynRejected)
+        (rejection,) = frames(self.forward(now=1.1), SynRejected)
         rig = SteeringRig(targets=1)
         rig.membership.table.learn(record("maps-1", host=1, slots=100), now=1.0)
-        self.assertGreater(turned.load.in_flight, 100)
+        self.assertGreater(rejection.load.in_flight, 100)
 
     def test_warm(self) -> None:
         """Targets that are warm or have no limit take what their slots allow."""
@@ -100,8 +100,8 @@
         for _ in range(9):
             self.forward(now=1.0)
         sent = packet(1, size=10)
-        carried = ForwardPacket(service="maps", payload=sent.raw)
-        actions = self.owner.from_balancer(carried, sent, sender=BALANCER, now=1.1)
+        frame = ForwardPacket(service="maps", payload=sent.raw)
+        actions = self.owner.from_balancer(frame, sent, sender=BALANCER, now=1.1)
         self.assertIn(sent.raw, [getattr(action, "raw", b"") for action in actions])
 
 
--- a/tests/packets/test_owner.py
+++ b/tests/packets/test_owner.py
@@ -138,7 +138,7 @@
         self.assertEqual(delivered(self.forward(sent, sender=OTHER_BALANCER)), 1)
 
     def test_reply_for_open_flow(self) -> None:
-        """A balancer that asks for a reply learns that the target owns the flow."""
+        """A balancer that requests a reply gets one that the flow is owned."""
         self.open()
         actions = self.forward(packet(size=10), sender=OTHER_BALANCER, wants_reply=True)
         self.assertEqual(delivered(actions), 1)
