--- a/monsoonpier/model/evacuation.py
+++ b/monsoonpier/model/evacuation.py
@@ -6,10 +6,10 @@
 centre wins, so the known state never goes back.
 
 A store that was restored from a backup may lack an order until the operator
-writes it again. An order of an earlier generation therefore stays in force
+writes it again. An order of an earlier generation therefore stays active
 until a conclusive read in the newer generation does not find it: sending flows
-to a data centre that is being evacuated is worse than sparing it for a few
-more seconds.
+to a data centre that is being evacuated is worse than sending it none for a
+few more seconds.
 """
 
 from collections.abc import Iterable, Mapping
@@ -23,8 +23,8 @@
 
 __all__ = ["MAX_EVACUATIONS", "Evacuation", "Evacuations", "evacuation"]
 
-# Every gossip datagram has all orders, so their number must leave room for
-# records.
+# Every gossip datagram has all orders, so their number is limited to leave
+# space for records.
 MAX_EVACUATIONS = 16
 
 
@@ -68,11 +68,12 @@
 
     Attributes:
         known: The latest order on each data centre that ever had one.
-        read_at: The store's revision of the newest full read. Older updates of
-            the same generation on data centres without a known order are
-            outdated.
-        concluded_at: The revision of the newest conclusive read. Such updates
-            of earlier generations are outdated too.
+        read_at: The store's revision of the newest full read. For data
+            centres without a known order, updates of the same generation are
+            ignored unless they are newer than this read.
+        concluded_at: The revision of the newest conclusive read. For data
+            centres without a known order, updates of any generation are
+            ignored unless they are newer than this read.
     """
 
     known: tuple[Evacuation, ...] = ()
@@ -116,7 +117,7 @@
                 is_changed = True
         if not is_changed:
             return self
-        return replace(self, known=_bounded(newest_by_name.values()))
+        return replace(self, known=_limit_orders(newest_by_name.values()))
 
     def as_read(
         self,
@@ -134,7 +135,7 @@
                 order that the read did not find has been deleted.
             is_conclusive: Whether operators have had the time to write again
                 what the store lost in a restore. Otherwise an order of an
-                earlier generation stays in force even if the read did not find
+                earlier generation stays active even if the read did not find
                 it.
         """
         found = [
@@ -160,18 +161,21 @@
         )
 
     def _is_outdated(self, written_at: Revision) -> bool:
-        """Return whether an update on an unknown data centre precedes a read."""
+        """Return whether an update was written before a read that did not find it.
+
+        Applies only to data centres without a known order.
+        """
         if written_at <= self.concluded_at:
             return True
         is_same_generation = written_at.generation == self.read_at.generation
         return is_same_generation and written_at <= self.read_at
 
 
-def _bounded(orders: Iterable[Evacuation]) -> tuple[Evacuation, ...]:
-    """Return at most `MAX_EVACUATIONS` orders, by name.
+def _limit_orders(orders: Iterable[Evacuation]) -> tuple[Evacuation, ...]:
+    """Return at most `MAX_EVACUATIONS` of the orders, sorted by data centre.
 
-    Active orders are kept before revoked ones, and newer ones before older
-    ones.
+    Revoked orders are discarded before active ones, and older orders before
+    newer ones.
     """
     ranked = sorted(
         orders,
