--- a/monsoonpier/balancer/packets/backlog.py
+++ b/monsoonpier/balancer/packets/backlog.py
@@ -27,7 +27,8 @@
 __all__ = ["QueueRejection", "FlowBacklog", "wait_expires_at", "is_in_time"]
 
 MAX_WAIT_SECONDS = 1.3  # callers give up a SYN after 1.4 s
-# Of the route's timeout; the rest is for serving the request and for one more try.
+# Share of the route's timeout; the rest is for serving the request and for one
+# more attempt.
 MAX_WAIT_SHARE = 0.7
 
 
@@ -39,7 +40,7 @@
 
 
 class FlowBacklog:
-    """The flows queued at one balancer. Does no I/O.
+    """The flows queued at one balancer, with their slot reservations. Does no I/O.
 
     Args:
         context: State shared by the decisions of this balancer.
@@ -70,9 +71,9 @@
         """Names of services that have queued flows."""
         return self._queues.services
 
-    def waiting(self, service: str) -> int:
+    def count_queued(self, service: str) -> int:
         """Return how many flows are queued for the service."""
-        return self._queues.waiting(service)
+        return self._queues.count_queued(service)
 
     # Adding and removing flows
 
@@ -100,7 +101,7 @@
             The frames to send to other processes, or why it can't be queued.
         """
         waiting = _waiting_flow(packet.flow, entry, route, candidates)
-        # Flows queued at other balancers are unknown: this is a lower bound.
+        # A lower bound, since flows queued at other balancers are unknown.
         ahead = self._queues.ahead(
             waiting,
             service=entry.service,
@@ -126,12 +127,15 @@
             expected_seconds=round(wait, 3),
             at_most_seconds=round(waiting.expires - now, 3),
         )
-        return self._announce(packet, entry, now=now, draw=draw)
+        return self._on_enqueued(packet, entry, now=now, draw=draw)
 
-    def _announce(
+    def _on_enqueued(
         self, packet: Packet, entry: FlowEntry, *, now: float, draw: random.Random
     ) -> list:
-        """Query the caller's first attempt and reserve slots for a queued flow."""
+        """Reserve slots for a newly queued flow, and start tracking its caller.
+
+        Also queries the caller's first attempt, once per flow.
+        """
         actions: list = []
         if not entry.is_attempt_queried and entry.first_attempt_at >= entry.created_at:
             entry.is_attempt_queried = True
@@ -148,16 +152,16 @@
             packet.flow, service=entry.service, now=now, draw=draw
         )
 
-    def expired(self, *, now: float) -> list[bytes]:
+    def pop_expired(self, *, now: float) -> list[bytes]:
         """Remove and return the flows that have waited too long."""
-        flows = self._queues.expired(now=now)
+        flows = self._queues.pop_expired(now=now)
         for flow in flows:
             self._reservations.forget(flow)
             self._presence.forget(flow)
         return flows
 
     def update_late(self, service: str, *, now: float, run_seconds: float) -> bool:
-        """Reclassify flows as late; return whether one in time is left."""
+        """Reclassify flows that have become late; return whether any is in time."""
         return self._queues.update_late(service, now=now, run_seconds=run_seconds)
 
     def pop(self, service: str) -> tuple[bytes, list]:
@@ -188,7 +192,7 @@
         """Return the frames that reserve at further agents for long-waiting flows."""
         return self._reservations.renew(now=now, draw=draw)
 
-    # News of callers
+    # Updates about callers
 
     def note_retransmission(self, packet: Packet, *, now: float) -> list:
         """Restore the place of a flow that was presumed abandoned."""
@@ -218,8 +222,8 @@
             actions += self._reposition(flow, entry, now=now)
         return actions
 
-    def apply_first_attempt(self, frame: FirstAttemptReply, *, now: float) -> list:
-        """Apply the first attempt that a caller's directory balancer reports."""
+    def record_first_attempt(self, frame: FirstAttemptReply, *, now: float) -> list:
+        """Record a caller's first attempt, and move its flow in the queue."""
         entry = self._context.flows.get(frame.flow)
         if entry is None or entry.syn is None:
             return []
@@ -237,7 +241,7 @@
         return self._reposition(frame.flow, entry, now=now)
 
     def _reposition(self, flow: bytes, entry: FlowEntry, *, now: float) -> list:
-        """Move a queued flow to the place that its entry now calls for."""
+        """Move a queued flow to its new place after its entry has changed."""
         route = self._context.route(entry.syn) if entry.syn is not None else None
         if route is None:
             return []
@@ -269,15 +273,15 @@
 def wait_expires_at(
     entry: FlowEntry, route: PacketRoute, candidates: list[Candidate]
 ) -> float:
-    """Return until when a SYN may wait for a slot.
+    """Return the time until which a SYN may wait for a slot.
 
     The route's timeout counts from the caller's first SYN, so a caller that was
     rejected before has less time left.
     """
     max_wait = min(MAX_WAIT_SECONDS, MAX_WAIT_SHARE * route.timeout_seconds)
     needed = MARGIN_RUNS * median_service_seconds(candidates)
-    left_at = entry.first_attempt_at + route.timeout_seconds - needed
-    return min(entry.created_at + max_wait, left_at)
+    latest_start_at = entry.first_attempt_at + route.timeout_seconds - needed
+    return min(entry.created_at + max_wait, latest_start_at)
 
 
 def _waiting_flow(
--- a/monsoonpier/balancer/packets/context.py
+++ b/monsoonpier/balancer/packets/context.py
@@ -1,4 +1,4 @@
-"""State shared by a packet balancer's decisions, and the frames that they send."""
+"""State shared by the parts of a packet balancer's steering, and frames for agents."""
 
 from collections import Counter
 from collections.abc import Collection, Iterable
@@ -36,7 +36,7 @@
 
 
 class ResetCaller(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """Action: reset a packet's flow, which no target owns or accepts."""
+    """The action that resets a packet's flow, which no target owns or accepts."""
 
     packet: Packet
     reason: str
@@ -47,10 +47,10 @@
     """The agents that may own flows of some services.
 
     Attributes:
-        names: All agents that have not ended, without those that have no target.
-        absent: Those of them that report that they find no target.
-        starting: Those of them whose target's state is not known yet; after a power
-            loss everywhere they own no flow.
+        names: Agents that have not ended, except those that have long had no target.
+        absent: Those among ``names`` that currently report no target.
+        starting: Those among ``names`` that have not reported their target's state
+            since they started; after a power loss everywhere they own no flow.
     """
 
     names: frozenset[str]
@@ -59,15 +59,17 @@
 
 
 class SteeringContext:
-    """What one balancer knows of targets and flows, and its decision log.
+    """The state that the parts of one balancer's steering share.
 
     Attributes:
         membership: Targets, peers and the configuration.
         flows: Table of recently seen flows.
         instances: When targets started, as their agents report.
-        returning_callers: Rejected callers that may come back, stored here.
-        first_attempts: The same, shared by the balancers of the data centre.
-        counts_by_result: Decisions, for metrics.
+        returning_callers: Rejected attempts that this balancer stores.
+        first_attempts: Exchange of rejected attempts with the other balancers of the
+            data centre.
+        log: Log of decisions.
+        counts_by_result: Number of decisions since the start, for metrics.
         wait_statistics: Outcomes of new flows, by service and priority.
         opened_by_service: New flows by the service chosen for them, for metrics.
     """
@@ -112,12 +114,12 @@
         self._services_by_address.clear()
 
     def choose_service(self, packet: Packet, route: PacketRoute, *, now: float) -> str:
-        """Return the service that a new flow goes to."""
+        """Choose the service of a new flow, and count the flow as opened there."""
         is_converged = self.is_converged(now=now)
         table = self.membership.table
 
         def serves(service: str) -> bool:
-            # Until convergence, some targets may not be known.
+            # Before convergence a service may have targets unknown here.
             return not is_converged or table.is_served(service, now=now)
 
         choice = choose_service(packet.flow, route, serves=serves)
@@ -143,7 +145,7 @@
     def _services_at(self, packet: Packet) -> frozenset[str]:
         """Return the services that a packet's address is or was routed to.
 
-        Cached, since it is needed for each reply on each dead flow.
+        The result is cached, since it is needed for each reply on each dead flow.
         """
         address = packet.service_address
         services = self._services_by_address.get(address)
@@ -180,18 +182,18 @@
             return now - self.started_at >= needed
         return self.is_converged(now=now)
 
-    def all_restarted_with_balancer(
+    def all_started_with_balancer(
         self, services: Collection[str], *, now: float
     ) -> bool:
         """Return whether the services' targets all started when this balancer did.
 
-        Requires known targets in all data centres, since a power loss may have
-        been limited to one.
+        If so, power was lost everywhere. Targets of all data centres must be known,
+        since a power loss may affect one data centre only.
         """
         return self._all_started_with_balancer(self._names_of(services), now=now)
 
     def _all_started_with_balancer(self, names: Collection[str], *, now: float) -> bool:
-        """Return whether all of these targets started with this balancer."""
+        """Return whether all of these targets started when this balancer did."""
         records = self.membership.table.records
         known_data_centres = {record.data_centre for record in records}
         if not self._data_centres or not self._data_centres <= known_data_centres:
@@ -211,7 +213,10 @@
         )
 
     def may_follow_power_loss(self, services: Collection[str], *, now: float) -> bool:
-        """Return whether all targets may have just started, as this balancer has."""
+        """Return whether the services' targets may all have started with this balancer.
+
+        This holds for a while after the start, unless a target is known to be older.
+        """
         if now - self.started_at >= ALONE_SECONDS:
             return False
         names = self._names_of(services)
@@ -232,7 +237,7 @@
         )
 
     def _has_no_target(self, name: str, *, now: float) -> bool:
-        """Return whether an agent has found no target for so long that it has none."""
+        """Return whether an agent has had no target for `ABSENT_SECONDS`."""
         record = self.membership.table.record(name)
         if record is not None and record.condition is not Condition.STARTING:
             return False
@@ -247,7 +252,7 @@
         return record is not None and record.is_absent
 
     def _starting(self, names: Collection[str]) -> set[str]:
-        """Return the agents whose target's state is not known yet since their start."""
+        """Return the agents that have not reported their target since they started."""
         records = {name: self.membership.table.record(name) for name in names}
         return {
             name
@@ -258,7 +263,7 @@
         }
 
     def _had_time_to_report(self, name: str, *, now: float) -> bool:
-        """Return whether an agent would have reported its target by now."""
+        """Return whether an agent would have found a running target by now."""
         record = self.membership.table.record(name)
         known_for = self.membership.table.record_age(name, now=now)
         return known_for >= TARGET_DISCOVERY_SECONDS or (
@@ -304,14 +309,14 @@
     def _service_at(
         self, record: TargetRecord, packet: Packet, entry: FlowEntry
     ) -> str:
-        """Return the service to name in a packet's frame, as its agent must serve it.
+        """Return the service that a packet's frame names; agents reject any other.
 
-        A new flow goes to the service chosen for it; a target of any service of the
-        route may own an open one.
+        A new flow goes to the service chosen for it; an open flow may be owned by a
+        target of any service of the route.
         """
         if packet.is_syn or record.service == entry.service:
             return entry.service
-        # A directory balancer may name an owner of a service unknown here.
+        # A directory balancer may report an owner of a service unknown here.
         is_routed = not entry.service or record.service in self.services_of(
             packet, entry
         )
@@ -370,12 +375,12 @@
         return names_by_service
 
     def _records(self, names: Iterable[str]) -> list[TargetRecord]:
-        """Return the records of known targets."""
+        """Return the records of those targets that are known."""
         records = [self.membership.table.record(name) for name in names]
         return [record for record in records if record is not None]
 
     def reset_caller(self, packet: Packet, reason: str, *, now: float) -> ResetCaller:
-        """Return the reset of a packet's flow, and log its reason."""
+        """Count and log a reset of a packet's flow, and return the action for it."""
         self.counts_by_result["reset"] += 1
         self.log.note(
             "caller reset",
--- a/monsoonpier/balancer/packets/directory.py
+++ b/monsoonpier/balancer/packets/directory.py
@@ -23,13 +23,16 @@
 __all__ = ["OwnerDirectory"]
 
 DIRECTORY_BALANCERS = 2  # per flow, since one may be restarting
-MAX_OWNERS = 65_536
-MAX_PENDING = 16_384
+MAX_OWNERS = 65_536  # flows stored here
+MAX_PENDING = 16_384  # flows scheduled for registration
 REGISTER_SECONDS = 0.25  # most flows with one request have ended by then
 
 
 class OwnerDirectory:
-    """This balancer's part of the directory, and its frames to the other parts."""
+    """The part of the directory that this balancer stores. Does no I/O.
+
+    Also builds the frames that update and query the other directory balancers.
+    """
 
     def __init__(self, *, membership: Membership) -> None:
         self._membership = membership
@@ -45,7 +48,7 @@
         return bool(self._pending)
 
     def schedule(self, flow: bytes, owner: str, *, now: float) -> None:
-        """Schedule a flow for registration, if it lasts."""
+        """Schedule a flow for registration after `REGISTER_SECONDS`."""
         self._pending.append((now + REGISTER_SECONDS, flow, owner))
 
     def pop_due(self, *, now: float) -> Iterator[tuple[bytes, str]]:
@@ -55,7 +58,7 @@
             yield flow, owner
 
     def publish(self, flows: list[tuple[bytes, str]]) -> list[ToAgent]:
-        """Store or send these flows' owners; return the frames to send."""
+        """Store the flows' owners that belong here; return frames with the others."""
         entries_by_balancer: dict[str, list[tuple[bytes, str]]] = {}
         records_by_name = self._membership.peers.near_by_name
         for flow, owner in flows:
--- a/monsoonpier/balancer/packets/first_attempts.py
+++ b/monsoonpier/balancer/packets/first_attempts.py
@@ -1,12 +1,12 @@
 """Times of callers' first attempts, shared by the balancers of a data centre.
 
-A rejected caller opens another flow, which may reach another balancer. Taken for a
-new caller it would overtake flows that can still be served in time, and would wait
-past its own deadline, which counts from its first attempt.
+A rejected caller opens another flow, which may reach another balancer. If that flow
+counted as a new request, it would overtake flows that can still be served in time, and
+would wait past the caller's deadline, which counts from the first attempt.
 
 One balancer, the caller's directory balancer, is notified of each rejection. It is
 queried only for flows that are queued, and replies only if it has a record. If it is
-lost or replies too late its callers count as new.
+lost or replies too late, the flow counts as a new request.
 """
 
 from monsoonpier.balancer.actions import ToAgent
@@ -27,21 +27,29 @@
 
 
 class FirstAttempts:
-    """This balancer's records of rejected callers, and its frames to the others."""
+    """Stores rejected attempts here or at the caller's directory balancer.
+
+    Also queries that balancer, and replies to queries of others. Does no I/O.
+    """
 
     def __init__(self, *, membership: Membership, returning: ReturningCallers) -> None:
         self._membership = membership
         self._returning = returning
 
     def note_rejection(
-        self, packet: Packet, earlier: EarlierAttempt, *, back_at: float, now: float
+        self,
+        packet: Packet,
+        earlier: EarlierAttempt,
+        *,
+        next_attempt_at: float,
+        now: float,
     ) -> list[ToAgent]:
         """Store a rejected attempt, or notify the caller's directory balancer.
 
         Args:
             packet: The rejected SYN, which names the caller and the service's address.
-            earlier: The attempts of the rejected request so far.
-            back_at: When the caller learns of the rejection, or gives up by itself.
+            earlier: The rejected attempt.
+            next_attempt_at: When the caller is reset, or gives up by itself.
             now: The current time.
         """
         if earlier.is_last:
@@ -49,7 +57,10 @@
         balancer = self._directory_balancer(packet)
         if balancer is None:
             self._returning.record(
-                packet.caller_ip, packet.service_address, earlier, back_at=back_at
+                packet.caller_ip,
+                packet.service_address,
+                earlier,
+                next_attempt_at=next_attempt_at,
             )
             return []
         frame = AttemptRejected(
@@ -57,14 +68,14 @@
             service=_endpoint(packet.service_address),
             first_attempt_age_ms=to_milliseconds(now - earlier.first_attempt_at),
             tries=earlier.attempts,
-            next_attempt_ms=to_milliseconds(back_at - now),
+            next_attempt_ms=to_milliseconds(next_attempt_at - now),
         )
         return [ToAgent(endpoint=balancer.endpoint, frame=frame)]
 
     def query(self, packet: Packet) -> list[ToAgent]:
         """Return the query for the first attempt of a flow's caller.
 
-        Returns none if this balancer is the caller's directory balancer itself.
+        The list is empty if this balancer is the caller's directory balancer itself.
         """
         balancer = self._directory_balancer(packet)
         if balancer is None:
@@ -86,16 +97,20 @@
                 first_attempt_at=now - frame.first_attempt_age_ms / 1000,
                 attempts=frame.tries,
             ),
-            back_at=now + frame.next_attempt_ms / 1000,
+            next_attempt_at=now + frame.next_attempt_ms / 1000,
         )
 
     def reply(
         self, frame: FirstAttemptQuery, *, sender: tuple[str, int], now: float
     ) -> list[ToAgent]:
-        """Return the reply to a query; none if the caller has no record here."""
-        came_at = now - frame.syn_age_ms / 1000
+        """Return the reply to a balancer's query for a caller's first attempt.
+
+        The list is empty if no rejected attempt of the caller is stored here. A stored
+        one is removed, so that it is used for one flow only.
+        """
+        opened_at = now - frame.syn_age_ms / 1000
         earlier = self._returning.claim(
-            frame.caller, _address(frame.service), came_at=came_at, now=now
+            frame.caller, _address(frame.service), opened_at=opened_at, now=now
         )
         if earlier is None:
             return []
--- a/monsoonpier/balancer/packets/flows.py
+++ b/monsoonpier/balancer/packets/flows.py
@@ -1,4 +1,7 @@
-"""A balancer's bounded table of flows without a token; it may be lost at any time."""
+"""Table of recently seen flows without a token.
+
+The table is bounded and not persistent; lost entries are found again by a lookup.
+"""
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
@@ -9,28 +12,29 @@
 __all__ = ["FlowStatistics", "FlowTable", "OwnerLookup", "FlowEntry"]
 
 MAX_FLOWS = 65_536
-LONG_FLOW_SECONDS = 2.0  # a flow still in use then carries several requests
-SMOOTHING = 0.1  # weight of one more flow in its address's statistics
+LONG_FLOW_SECONDS = 2.0  # a flow still in use then counts as one with several requests
+SMOOTHING = 0.1  # weight of the latest flow in its address's statistics
 MAX_FLOW_BYTES = 1 << 30  # a larger acknowledged distance means a reordered packet
 MAX_BUFFERED_PACKETS = 16  # per flow; about one window
 
 
 @dataclass(slots=True, kw_only=True)
 class OwnerLookup:
-    """Progress of the search for a flow's owner.
+    """Progress of the lookup of a flow's owner.
 
     Attributes:
         started_at: When the first packet of the flow arrived.
-        queried_at: When directory balancers, or later agents, were last queried.
+        queried_at: When the directory balancers or the agents were last queried.
         packets: Buffered packets for the owner, the oldest first.
         pending_replies: How many directory balancers may still reply.
         has_queried_agents: Whether the agents have been queried.
-        repeats: How often they were queried again without a further packet.
-        probe: The packet that is sent to targets to learn which one owns the flow.
+        repeats: How many scheduled retries of the query have come due.
+        probe: The packet that is sent to targets to find out which one owns the flow.
         probed_at_by_name: When the probe was sent to each target, by name.
         to_probe: Names of targets that the probe is yet to be sent to.
         denied: Agents that have denied owning the flow.
-        inconclusive: Agents that can't tell, since their target has just started.
+        inconclusive: Agents that can't tell whether their target owns the flow, since
+            it has just started or is absent.
     """
 
     started_at: float
@@ -55,7 +59,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class FlowEntry:
-    """An entry of the flow table: one flow as this balancer last saw it.
+    """An entry of the flow table: what this balancer knows of one flow.
 
     Attributes:
         service: The service that the flow is for.
@@ -75,8 +79,8 @@
         syn: The SYN, until the flow is open.
         syn_sent_at: When the SYN was last sent to a target.
         tried: Names of targets that the SYN was sent to.
-        lookup: The search for the owner, while there is one.
-        is_in_statistics: Whether the flow counts in its address's statistics.
+        lookup: The lookup of the owner, while it is in progress.
+        is_in_statistics: Whether the flow has been counted in its address's statistics.
         has_fin: Whether the caller has sent a FIN.
         sent_bytes: Bytes that the caller has sent.
         first_acknowledged: The caller's first acknowledgement number, from which
@@ -103,7 +107,7 @@
     first_acknowledged: int | None = None
 
     def link_earlier_attempt(self, earlier: EarlierAttempt) -> None:
-        """Treat the flow as a further attempt of a request that was rejected before."""
+        """Count the flow as a further attempt of a request that was rejected before."""
         self.first_attempt_at = min(self.first_attempt_at, earlier.first_attempt_at)
         self.attempts = earlier.attempts + 1
 
@@ -113,36 +117,36 @@
 
     def __init__(self, *, limit: int = MAX_FLOWS) -> None:
         self._limit = limit
-        self._flows_by_address: OrderedDict[bytes, FlowEntry] = OrderedDict()
+        self._entries_by_flow: OrderedDict[bytes, FlowEntry] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._flows_by_address)
+        return len(self._entries_by_flow)
 
     def get(self, flow: bytes) -> FlowEntry | None:
         """Return the entry of a flow, if there is one."""
-        return self._flows_by_address.get(flow)
+        return self._entries_by_flow.get(flow)
 
     def touch(self, flow: bytes) -> FlowEntry | None:
         """Return the entry of a flow and mark it as most recently used."""
-        entry = self._flows_by_address.get(flow)
+        entry = self._entries_by_flow.get(flow)
         if entry is not None:
-            self._flows_by_address.move_to_end(flow)
+            self._entries_by_flow.move_to_end(flow)
         return entry
 
     def put(self, flow: bytes, entry: FlowEntry) -> None:
         """Add a flow; evict the least recently used one if the table is full."""
-        self._flows_by_address[flow] = entry
-        self._flows_by_address.move_to_end(flow)
-        if len(self._flows_by_address) > self._limit:
-            self._flows_by_address.popitem(last=False)
+        self._entries_by_flow[flow] = entry
+        self._entries_by_flow.move_to_end(flow)
+        if len(self._entries_by_flow) > self._limit:
+            self._entries_by_flow.popitem(last=False)
 
     def drop(self, flow: bytes) -> None:
         """Remove a flow."""
-        self._flows_by_address.pop(flow, None)
+        self._entries_by_flow.pop(flow, None)
 
 
 class FlowStatistics:
-    """Share of long flows to one address, and mean bytes of the short ones."""
+    """Share of long flows to one address, and mean bytes of its short flows."""
 
     def __init__(self) -> None:
         self._long_share = 0.5
--- a/monsoonpier/balancer/packets/new_flows.py
+++ b/monsoonpier/balancer/packets/new_flows.py
@@ -1,4 +1,4 @@
-"""New flows: placed on a target, queued for a slot, or rejected."""
+"""Handling of new flows, which are placed on a target, queued or rejected."""
 
 import random
 from collections import deque
@@ -36,14 +36,15 @@
 
 __all__ = ["NewFlowHandler"]
 
-HEDGE_SECONDS = 0.06  # without an answer, a SYN is sent to another target
+HEDGE_SECONDS = 0.06  # after which an unanswered SYN is sent to another target
 # Hedge budget, as a share of the SYNs sent: keeps hedging from adding to the
 # congestion of a full link.
 HEDGE_SHARE = 0.2
 MAX_HEDGES = 10.0
-# An agent that has queued a SYN and sends nothing for this long may have ended.
+# An agent that has queued a SYN and then sends no message on it for this long may
+# have ended.
 QUEUE_SILENCE_SECONDS = 0.7
-GIVE_UP_SECONDS = 1.4  # after the first SYN, callers open another flow
+GIVE_UP_SECONDS = 1.4  # after the first SYN; then callers open another flow
 MAX_PLACEMENTS = 6  # of one SYN in a row, before it is queued for a slot
 
 
@@ -100,7 +101,7 @@
         if packet.flow in self._backlog:
             return self._backlog.note_retransmission(packet, now=now)
         if entry is not None and entry.syn is None and not entry.is_confirmed:
-            # Only a lookup created the entry: the caller reuses the ports.
+            # A lookup created the entry, for an earlier flow with these ports.
             entry = None
         if entry is not None and entry.owners:
             # A retransmission goes to the target that may have opened the flow,
@@ -156,7 +157,7 @@
     def on_rejected(
         self, frame: SynRejected, packet: Packet, *, now: float, draw: random.Random
     ) -> list:
-        """Place or queue a SYN again that an agent has rejected."""
+        """Place a SYN that an agent has rejected on another target, or queue it."""
         table = self._context.membership.table
         table.record_load(frame.agent, frame.load, now=now)
         table.record_flow_answered(frame.agent)
@@ -180,7 +181,10 @@
         return self._place(packet, entry, now=now, draw=draw)
 
     def on_offer(self, frame: OfferSlot, *, now: float) -> list:
-        """Send the first queued flow to an agent that offers a slot."""
+        """Send the queued flow that fits best to an agent that offers a slot.
+
+        The offer is declined if no flow can take the slot.
+        """
         self._context.membership.table.record_load(frame.agent, frame.load, now=now)
         actions: list = []
         while (claimed := self._backlog.claim(frame, now=now)) is not None:
@@ -208,11 +212,11 @@
         return actions + self._backlog.decline(frame)
 
     def on_first_attempt_reply(self, frame: FirstAttemptReply, *, now: float) -> list:
-        """Apply the first attempt that a caller's directory balancer reports."""
-        return self._backlog.apply_first_attempt(frame, now=now)
+        """Record a caller's first attempt, as its directory balancer reports it."""
+        return self._backlog.record_first_attempt(frame, now=now)
 
     def retry(self, *, now: float, draw: random.Random) -> list:
-        """Advance SYNs that wait for a slot or for a target's answer."""
+        """Place or reject queued SYNs, and hedge those that no target has answered."""
         actions = self.place_waiting(now=now, draw=draw)
         actions += self._backlog.renew(now=now, draw=draw)
         return actions + self._retry_unanswered(now=now, draw=draw)
@@ -314,16 +318,16 @@
     def _reject(
         self, packet: Packet, entry: FlowEntry, reason: str, *, now: float
     ) -> list:
-        """Reset a flow, unless its SYN is a retransmission, and note the rejection."""
+        """Record a rejected flow, and reset it unless its SYN is a retransmission."""
         self._context.flows.drop(packet.flow)
         self._context.counts_by_result["refused"] += 1
         self._count_rejected(packet, entry, reason, now=now)
-        back_at = entry.created_at + GIVE_UP_SECONDS if packet.waited else now
+        next_attempt_at = entry.created_at + GIVE_UP_SECONDS if packet.waited else now
         earlier = EarlierAttempt(
             first_attempt_at=entry.first_attempt_at, attempts=entry.attempts
         )
         notices = self._context.first_attempts.note_rejection(
-            packet, earlier, back_at=back_at, now=now
+            packet, earlier, next_attempt_at=next_attempt_at, now=now
         )
         if packet.waited:
             # The first SYN may be queued or placed at another balancer; a reset
@@ -337,7 +341,7 @@
     def _count_rejected(
         self, packet: Packet, entry: FlowEntry, reason: str, *, now: float
     ) -> None:
-        """Count a rejected flow; a retransmission is not rejected, only dropped."""
+        """Count a rejected flow; retransmissions are dropped and not counted."""
         route = self._context.route(packet)
         if route is not None and not packet.waited:
             self._context.wait_statistics.count_rejected(
@@ -347,7 +351,7 @@
     def place_waiting(self, *, now: float, draw: random.Random) -> list:
         """Place queued flows on free slots and reject those that have expired."""
         actions = self._backlog.note_abandoned(now=now)
-        for flow in self._backlog.expired(now=now):
+        for flow in self._backlog.pop_expired(now=now):
             entry = self._context.flows.get(flow)
             if entry is not None and entry.syn is not None:
                 actions += self._reject(entry.syn, entry, "no slot came free", now=now)
@@ -360,7 +364,7 @@
     ) -> list:
         """Place the queued flows of one service while targets have room."""
         actions: list = []
-        for _ in range(self._backlog.waiting(service)):
+        for _ in range(self._backlog.count_queued(service)):
             candidates = self._context.membership.table.packet_candidates(
                 service, now=now
             )
@@ -379,7 +383,7 @@
         return actions
 
     def _retry_unanswered(self, *, now: float, draw: random.Random) -> list:
-        """Send SYNs that targets have not answered in time to other targets."""
+        """Hedge SYNs: send those that are still unanswered to another target."""
         actions: list = []
         while self._unanswered and self._unanswered[0][0] <= now:
             _, flow = self._unanswered.popleft()
@@ -412,7 +416,7 @@
     def observe_flow(self, packet: Packet, entry: FlowEntry, *, now: float) -> None:
         """Update the statistics of a packet's address."""
         if entry.is_in_statistics or entry.syn is None and not entry.tried:
-            return  # The age of a flow opened through another balancer is unknown.
+            return  # The flow's age is unknown if another balancer opened it.
         self._statistics(packet).observe(packet, entry, now=now)
 
     def _statistics(self, packet: Packet) -> FlowStatistics:
@@ -429,7 +433,7 @@
         *,
         now: float,
     ) -> None:
-        """Log a placement, and observe its wait and load age."""
+        """Log a placement, and observe its wait and the age of its load report."""
         chosen = next(c for c in candidates if c.record.name == name)
         load_age = self._context.membership.table.load_age(name, now=now)
         self.wait_seconds.observe(now - entry.created_at)
--- a/monsoonpier/balancer/packets/owner_probes.py
+++ b/monsoonpier/balancer/packets/owner_probes.py
@@ -1,9 +1,9 @@
-"""Probe packets to targets whose agents can't tell whether they own a flow.
+"""Probes of targets whose agents can't tell which flows the target owns.
 
 If agents and balancers restart while targets keep running, a flow's owner is found by
-sending one of its packets to all targets of the service. Links of entry VMs are
-narrow, so after the first few targets the probe goes to one agent, which relays it to
-the others.
+sending one of its packets, the probe, to all targets of the service. Links of entry
+VMs are narrow, so after the first few targets the probe is sent to one agent, which
+relays it to the others.
 """
 
 from collections.abc import Collection
@@ -23,7 +23,7 @@
 
 
 class OwnerProbes:
-    """Chooses probe packets and their way to the targets. Does no I/O."""
+    """Sends probes to targets, directly or relayed by another agent. Does no I/O."""
 
     def __init__(self, *, context: SteeringContext) -> None:
         self._context = context
@@ -35,7 +35,7 @@
         return bool(self._pending_flows)
 
     def probe(self, entry: FlowEntry, agent: str, *, now: float) -> list[ToAgent]:
-        """Send the flow's probe to an agent, at once or with the next `flush`."""
+        """Send a flow's probe to an agent, at once or with the next `flush`."""
         lookup = entry.lookup
         assert lookup is not None
         probed_at = lookup.probed_at_by_name.get(agent)
@@ -53,7 +53,7 @@
         return []
 
     def flush(self) -> list[ToAgent]:
-        """Return the collected probes, relayed by one agent for each group."""
+        """Return the collected probes; each names the agents to relay it to."""
         due, self._pending_flows = self._pending_flows, {}
         return [action for flow in due for action in self._probe_pending(flow)]
 
@@ -111,9 +111,9 @@
 
 
 def _probe_cost(packet: Packet) -> tuple[bool, int]:
-    """Rank candidate probes: the smallest packet that an owner must answer.
+    """Return a sort key that puts the smallest packet that has to be answered first.
 
-    A target doesn't answer a bare acknowledgement.
+    A bare acknowledgement comes last, since no target answers it.
     """
     is_bare = not packet.size and not packet.is_fin
     return (is_bare, packet.size)
--- a/monsoonpier/balancer/packets/owner_queries.py
+++ b/monsoonpier/balancer/packets/owner_queries.py
@@ -1,8 +1,8 @@
 """Batched queries to agents for the owners of flows.
 
-After a power loss all flows are dead at once, and a query per flow and agent would
-fill the links of small entry VMs. So flows looked up at about the same time share a
-query.
+After a power loss all flows are dead at once, and one query per flow and agent would
+fill the links of small entry VMs. Therefore flows that are looked up at about the same
+time share a query.
 """
 
 from collections import OrderedDict
@@ -14,7 +14,7 @@
 
 __all__ = ["OwnerQueries"]
 
-BATCH_SECONDS = 0.02  # flows looked up in this time share a query
+BATCH_SECONDS = 0.02  # flows looked up within this time share a query
 MAX_BATCH_SECONDS = 0.1  # batches are longer when many flows are looked up
 MICROSECONDS = 1_000_000
 MAX_REMEMBERED_QUERIES = 256
@@ -27,8 +27,8 @@
         self._context = context
         self._pending_by_service: dict[str, list[bytes]] = {}
         self._flows_by_query: OrderedDict[int, tuple[bytes, ...]] = OrderedDict()
-        # An agent may answer late, after this balancer has restarted: query numbers
-        # of the process before must not be used again.
+        # A reply may arrive after this balancer has restarted, so query numbers of
+        # the previous process must not be reused.
         self._last_query = int(context.started_at * MICROSECONDS)
         self._next_batch_at = 0.0
 
@@ -47,13 +47,13 @@
         """Return the queries for all collected flows, if the batch is due."""
         if now < self._next_batch_at or not self._pending_by_service:
             return []
-        asked, self._pending_by_service = self._pending_by_service, {}
-        largest = max(map(len, asked.values()))
+        pending, self._pending_by_service = self._pending_by_service, {}
+        largest = max(map(len, pending.values()))
         wait = min(BATCH_SECONDS * largest, MAX_BATCH_SECONDS)
         self._next_batch_at = now + max(BATCH_SECONDS, wait)
         return [
             action
-            for service, flows in asked.items()
+            for service, flows in pending.items()
             for start in range(0, len(flows), MAX_QUERIED_FLOWS)
             for action in self._build_queries(
                 service, tuple(flows[start : start + MAX_QUERIED_FLOWS]), now=now
@@ -82,10 +82,10 @@
 
     def _agents_to_query(self, service: str, flows: tuple[bytes, ...]) -> list[str]:
         """Return the agents that have not denied all of these flows."""
-        known_flows = [self._context.flows.get(flow) for flow in flows]
+        entries = [self._context.flows.get(flow) for flow in flows]
         denied = [
             entry.lookup.denied
-            for entry in known_flows
+            for entry in entries
             if entry is not None and entry.lookup is not None
         ]
         by_all = set.intersection(*denied) if denied else set()
--- a/monsoonpier/balancer/packets/owner_resolver.py
+++ b/monsoonpier/balancer/packets/owner_resolver.py
@@ -36,7 +36,7 @@
 class OwnerResolver:
     """Finds the owner of a flow. Does no I/O.
 
-    Asks the flow's directory balancers, then all agents that may own it.
+    Queries the flow's directory balancers, then all agents whose targets may own it.
     """
 
     def __init__(self, *, context: SteeringContext) -> None:
@@ -88,16 +88,16 @@
         return queries
 
     def resume(self, packet: Packet, entry: FlowEntry, *, now: float) -> list:
-        """Buffer a further packet of the flow, and repeat the query if that is due."""
+        """Buffer a further packet of a flow, and query the agents again if due."""
         lookup = entry.lookup
         assert lookup is not None
         lookup.buffer(packet)
         if not lookup.has_queried_agents or now - lookup.queried_at < REQUERY_SECONDS:
             return []
         agents = self._agents_of(entry, now=now)
-        verdict = self._evaluate(entry, agents, now=now)
-        if verdict or not agents.names - lookup.denied:
-            return verdict
+        decided = self._evaluate(entry, agents, now=now)
+        if decided or not agents.names - lookup.denied:
+            return decided
         probes = []
         services = self._services_of(entry)
         if not self._context.may_follow_power_loss(services, now=now):
@@ -129,26 +129,27 @@
         """Return the agents that may own a flow."""
         return self._context.agents_of(self._services_of(entry), now=now)
 
-    def _agents_among(
+    def _cached_agents_of(
         self,
         agents_by_services: dict[frozenset[str], ServiceAgents],
         entry: FlowEntry,
         *,
         now: float,
     ) -> ServiceAgents:
-        """Return the agents that may own a flow, computed once per set of services."""
+        """Return the agents that may own a flow, from a cache by set of services."""
         services = self._services_of(entry)
         if services not in agents_by_services:
             agents_by_services[services] = self._context.agents_of(services, now=now)
         return agents_by_services[services]
 
     def _probe_all(self, packet: Packet) -> list:
-        """Send a packet whose address has no known route to all agents.
+        """Send a packet to all agents if no configuration has been received yet.
 
-        Only without a configuration, after a restart without the store: the flow may
-        be open. Agents deliver the packet only if their target owns the flow or
-        serves the address. A few agents relay it, so that packets of dead flows
-        don't fill the links on which the configuration arrives.
+        The flow may be open, and its route is unknown after a restart while the store
+        is down. Agents deliver the packet only if their target owns the flow or serves
+        the address. A few agents relay it, so that packets of dead flows don't fill
+        the links on which the configuration arrives. Once there is a configuration, a
+        packet without a route is dropped.
         """
         self._context.counts_by_result["no_route"] += 1
         if self._context.membership.configuration.version:
@@ -161,7 +162,7 @@
     def on_directory_frame(
         self, frame, *, sender: tuple[str, int], now: float
     ) -> list | None:
-        """Handle a frame of the directory; ``None`` if it is another."""
+        """Handle a frame of the directory; return ``None`` for any other frame."""
         match frame:
             case DirectoryUpdate():
                 self._directory.store(frame)
@@ -174,7 +175,10 @@
         return None
 
     def _on_directory_reply(self, frame: DirectoryReply, *, now: float) -> list:
-        """Forward to the reported owner, or query the agents if none is known."""
+        """Forward packets to the reported owner, or query the agents if none is known.
+
+        The agents are queried once no further directory balancer may reply.
+        """
         entry = self._context.flows.get(frame.flow)
         if entry is None or entry.lookup is None:
             return []
@@ -197,7 +201,7 @@
         lookup, entry.lookup = entry.lookup, None
         if lookup is None:
             return []
-        # The probe packet has reached the owner already.
+        # The owner has already received the probe packet.
         return [
             action
             for packet in lookup.packets
@@ -222,13 +226,13 @@
             entry = self._context.flows.get(flow)
             if entry is None or entry.lookup is None:
                 continue
-            agents = self._agents_among(agents_by_services, entry, now=now)
+            agents = self._cached_agents_of(agents_by_services, entry, now=now)
             if flow in frame.held:
                 self._context.log.note(
                     "owner found", now=now, flow=flow, target=frame.agent
                 )
                 entry.owners = (frame.agent,)
-                self.note_owner(flow, frame.agent, now=now)
+                self.schedule_registration(flow, frame.agent, now=now)
                 actions += self.finish_lookup(entry)
             elif frame.is_conclusive:
                 actions += self._record_denial(
@@ -242,22 +246,22 @@
         return actions
 
     def _evaluate(self, entry: FlowEntry, agents: ServiceAgents, *, now: float) -> list:
-        """Act on the replies so far: reset the flow, probe agents, or wait.
+        """Act on the replies so far: reset the flow, probe targets, or wait.
 
-        If all targets have just started, none can own the flow. Probing all of them
-        would fill the links during recovery.
+        If all targets started with this balancer, power was lost everywhere and none
+        of them owns the flow. Probing them would fill the links during recovery.
         """
         lookup = entry.lookup
         assert lookup is not None
         replied = len(lookup.denied) + len(lookup.inconclusive)
         if replied + len(agents.absent) + len(agents.starting) < len(agents.names):
-            return []  # Cheap exit, since most replies are not the last one.
+            return []  # A fast path: too few replies to decide yet.
         remaining = agents.names - lookup.denied
         if not remaining:
             return self._on_all_denied(entry, now=now)
         pending = remaining - lookup.inconclusive
         has_lost_power = pending <= agents.starting and (
-            self._context.all_restarted_with_balancer(self._services_of(entry), now=now)
+            self._context.all_started_with_balancer(self._services_of(entry), now=now)
         )
         if has_lost_power:
             lookup.denied |= remaining
@@ -286,7 +290,7 @@
         *,
         now: float,
     ) -> list:
-        """Record an agent's denial, and act on the replies so far."""
+        """Record that an agent's target doesn't own a flow, and act on all replies."""
         self._context.log.note("flow denied", now=now, flow=flow, target=agent)
         lookup = entry.lookup
         assert lookup is not None
@@ -319,7 +323,10 @@
         return self._query_agents(entry, lookup, now=now)
 
     def _on_all_denied(self, entry: FlowEntry, *, now: float) -> list:
-        """Reset a flow that all known agents deny, if no other target can own it."""
+        """Reset a flow that all known agents have denied, or defer the reset.
+
+        The reset is deferred while agents that may own the flow may be unknown.
+        """
         lookup = entry.lookup
         assert lookup is not None
         if not lookup.has_queried_agents:
@@ -330,7 +337,7 @@
         return self._reset_unowned(entry, lookup, now=now)
 
     def _defer_reset(self, flow: bytes) -> None:
-        """Keep a denied flow for the next check of early denials."""
+        """Add a denied flow to those that `_recheck_early_denials` resets later."""
         if len(self._early_denials) < MAX_EARLY_DENIALS:
             self._early_denials.append(flow)
 
@@ -348,12 +355,12 @@
 
     # Timers
 
-    def note_owner(self, flow: bytes, owner: str, *, now: float) -> None:
+    def schedule_registration(self, flow: bytes, owner: str, *, now: float) -> None:
         """Schedule the registration of a confirmed owner in the directory."""
         self._directory.schedule(flow, owner, now=now)
 
     def retry(self, *, now: float) -> list:
-        """Register owners, query agents again, and recheck early denials."""
+        """Register owners, send due queries and probes, and recheck early denials."""
         actions = self._register(now=now) + self._query_after_timeout(now=now)
         actions += self._repeat_queries(now=now)
         actions += self._probes.flush()
@@ -363,7 +370,7 @@
         return actions
 
     def _register(self, *, now: float) -> list:
-        """Register the flows that are due and still open in the directory."""
+        """Register due flows that are still open and whose owner is unchanged."""
         lasting = []
         for flow, owner in self._directory.pop_due(now=now):
             entry = self._context.flows.get(flow)
@@ -383,7 +390,7 @@
         return actions
 
     def _repeat_queries(self, *, now: float) -> list:
-        """Repeat the queries that some agents have not answered."""
+        """Repeat the queries to which some agents have not replied."""
         agents_by_services: dict[frozenset[str], ServiceAgents] = {}
         actions: list = []
         while self._query_retries and self._query_retries[0][0] <= now:
@@ -398,18 +405,18 @@
                 heapq.heappush(self._query_retries, (now + seconds, flow))
             if now - lookup.queried_at < QUERY_RETRY_SECONDS / 2:
                 continue  # A packet of the caller has just triggered a query.
-            agents = self._agents_among(agents_by_services, entry, now=now)
+            agents = self._cached_agents_of(agents_by_services, entry, now=now)
             if not agents.names - lookup.denied:
                 self._defer_reset(flow)
                 continue
-            verdict = self._evaluate(entry, agents, now=now)
-            actions += verdict or self._query_agents(entry, lookup, now=now)
+            decided = self._evaluate(entry, agents, now=now)
+            actions += decided or self._query_agents(entry, lookup, now=now)
         return actions
 
     def _recheck_early_denials(self, *, now: float) -> list:
-        """Reset early denied flows once no other target can own them.
+        """Reset flows denied by all known agents, once no unknown agent may own them.
 
-        What is known of a set of services is computed once.
+        The agents are computed once for each set of services.
         """
         self._rechecked_at = now
         flows, self._early_denials = dict.fromkeys(self._early_denials), []
--- a/monsoonpier/balancer/packets/placement.py
+++ b/monsoonpier/balancer/packets/placement.py
@@ -24,22 +24,23 @@
 
 RETRY_AFTER_SECONDS = 0.2
 BUSY_WEIGHT = 0.5  # cost of all slots being taken, in service times
-FLOW_WEIGHT = 1.0  # cost of an average number of open flows, for a long flow
+FLOW_WEIGHT = 1.0  # cost for a long flow if a target has the mean number of flows
 FAILURE_WEIGHT = 8.0  # cost if all requests fail, in service times
-FAILING_PERCENT = 25  # of requests that fail; from there on a target is excluded
+FAILING_PERCENT = 25  # a target is excluded if this share of its requests fails
 MAX_EXCLUDED_SHARE = 0.25  # the other targets must carry the load
-# Round trip to another data centre: one for the handshake and one for each window.
+# Round trip to another data centre; a flow takes one for the handshake and one
+# for each window.
 REMOTE_SECONDS = 0.001
-# In service times. A remote target may cost more than half a target's slots being
-# taken, but never more than the wait for a slot.
+# Bounds of the extra cost of a remote target, in service times: at least the cost
+# of half of a target's slots being taken, and less than a wait for a slot.
 MIN_REMOTE_WEIGHT = 0.25
 MAX_REMOTE_WEIGHT = 0.6
 WINDOW_BYTES = 16 * 1_200  # packets in flight in each direction, times payload
-JITTER = 0.02  # keeps balancers with equal knowledge from choosing alike
-COLD_SPEED_RATIO = 1.5  # of a cold target without a measured service time
+JITTER = 0.02  # prevents balancers with the same data from all choosing one target
+COLD_SPEED_RATIO = 1.5  # assumed for a cold target without a service time
 MIN_SPEED_RATIO = 0.3
 MAX_SPEED_RATIO = 8.0
-DEFAULT_SERVICE_MS = 50
+DEFAULT_SERVICE_MS = 50  # assumed while no service time is known
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -73,7 +74,7 @@
 def place(
     query: PlacementQuery, candidates: Sequence[Candidate], *, draw: random.Random
 ) -> Chosen | NoTarget:
-    """Return the target with the least cost; pure but for the random draws."""
+    """Return the target with the least cost; deterministic but for random jitter."""
     untried = [
         c
         for c in candidates
@@ -83,8 +84,8 @@
     ready = [c for c in untried if not c.suspected] or untried
     if not ready:
         return NoTarget(reason="no target is free", retry_after=RETRY_AFTER_SECONDS)
-    view = _CostModel(ready, query=query)
-    best = min(ready, key=lambda c: view.score(c, draw=draw))
+    costs = _CostModel(ready, query=query)
+    best = min(ready, key=lambda c: costs.cost(c, draw=draw))
     return Chosen(record=best.record)
 
 
@@ -174,7 +175,7 @@
         ahead = _requests_ahead(candidate, in_time=in_time) + 1 - slots
         return max(0, ahead) / slots
 
-    def score(self, candidate: Candidate, *, draw: random.Random) -> float:
+    def cost(self, candidate: Candidate, *, draw: random.Random) -> float:
         """Return the cost of placing the flow there; the least is chosen."""
         query = self._query
         slots = candidate.record.slots
--- a/monsoonpier/balancer/packets/presence.py
+++ b/monsoonpier/balancer/packets/presence.py
@@ -1,11 +1,12 @@
 """Detection of callers that have left while their flows wait for a slot.
 
-A waiting caller retransmits its SYN at known times. If a retransmission is missing
-the flow is presumed abandoned: a slot given to it would stay empty until its agent
-times out. The retransmission may also be lost, so the flow stays queued behind all
-others and regains its place when the next one arrives.
+A waiting caller retransmits its SYN at known times. If a retransmission is missing, the
+flow is presumed abandoned, since a slot given to a caller that has left stays empty
+until the agent's timeout. The retransmission may just be lost, so the flow stays queued
+behind all others and regains its place when the next retransmission arrives.
 
-A new flow from the same address proves nothing: several users may share it.
+A new flow from the same address doesn't show that the caller has left, as several users
+may share the address.
 """
 
 import heapq
@@ -25,7 +26,7 @@
         first_syn_at: When its first SYN was sent.
         latest_syn_offset: Seconds after that at which the latest received
             retransmission was sent.
-        is_presumed_abandoned: Whether a later one was due and is missing.
+        is_presumed_abandoned: Whether a later retransmission is overdue.
     """
 
     first_syn_at: float
@@ -34,7 +35,7 @@
 
 
 class CallerPresence:
-    """Tracks the callers of queued flows. Does no I/O."""
+    """Tracks which queued flows are presumed abandoned. Does no I/O."""
 
     def __init__(self) -> None:
         self._callers_by_flow: dict[bytes, _Caller] = {}
@@ -89,7 +90,10 @@
         self._callers_by_flow.pop(flow, None)
 
     def pop_abandoned(self, *, now: float) -> list[bytes]:
-        """Return the flows that have newly missed a retransmission, and mark them."""
+        """Return the flows that are presumed abandoned from now on.
+
+        These are flows whose retransmission has become overdue since the last call.
+        """
         flows: list[bytes] = []
         while self._deadlines and self._deadlines[0][0] <= now:
             _, offset, flow = heapq.heappop(self._deadlines)
--- a/monsoonpier/balancer/packets/process.py
+++ b/monsoonpier/balancer/packets/process.py
@@ -29,15 +29,15 @@
 
 __all__ = ["PacketBalancerProcess"]
 
-QUIET_SECONDS = 1.0  # without a packet, after which a leaving balancer may stop
-MIN_LEAVE_SECONDS = 1.5  # by then probes have failed and the fabric has moved flows
+QUIET_SECONDS = 1.0  # without callers' packets, after which shutdown is complete
+MIN_LEAVE_SECONDS = 1.5  # by then health checks fail and the fabric has moved flows
 MAX_LEAVE_SECONDS = 5.0  # a second less than processes are given to stop
-RETRY_CHECK_SECONDS = 0.02
+RETRY_CHECK_SECONDS = 0.02  # between runs of pending work
 _log = structlog.get_logger("monsoonpier.balancer.packets.process")
 
 
 class PacketBalancerProcess:
-    """Runs one balancer until it has left.
+    """Runs one balancer until its shutdown is complete.
 
     Args:
         settings: The settings of this process.
@@ -92,8 +92,8 @@
             is_ready=lambda: self.is_ready,
         )
         self._socket: UdpSocket | None = None
-        self._retry: asyncio.TimerHandle | None = None
-        self._last_passed = 0.0
+        self._retry_timer: asyncio.TimerHandle | None = None
+        self._last_packet_at = 0.0
         self._configured_at = self._started
         self._dropped_by_reason: dict[str, int] = {}
 
@@ -104,7 +104,7 @@
         return self._life.is_ready and knows_targets and self._member.is_in_contact
 
     async def run(self) -> None:
-        """Serve until asked to leave and traffic has moved to other balancers.
+        """Serve until shutdown is requested and traffic has moved to other balancers.
 
         Raises:
             OSError: If a port is taken.
@@ -123,14 +123,14 @@
         _log.info("stopped")
 
     async def _leave_and_finish(self) -> None:
-        """Leave the membership, and wait until packets have stopped arriving."""
+        """Wait for a shutdown request, leave, and wait until callers' packets stop."""
         await self._life.wait_for_shutdown()
         began = _now()
         # A task, so that an unresponsive store doesn't delay callers' packets.
         leaving = asyncio.create_task(self._member.leave())
         while _now() - began < MAX_LEAVE_SECONDS:
             await asyncio.sleep(0.1)
-            is_quiet = _now() - self._last_passed > QUIET_SECONDS
+            is_quiet = _now() - self._last_packet_at > QUIET_SECONDS
             if is_quiet and _now() - began > MIN_LEAVE_SECONDS:
                 break
         leaving.cancel()
@@ -151,7 +151,7 @@
         if isinstance(packet, Dropped):
             self._drop(packet.reason)
             return
-        self._last_passed = now
+        self._last_packet_at = now
         self._perform(self._steering.from_caller(packet, now=now, draw=self._draw))
 
     def _take_frame(self, frame, sender: tuple[str, int]) -> None:
@@ -172,7 +172,7 @@
         self._perform(actions)
 
     def _perform(self, actions: list) -> None:
-        """Send the frames and resets of these actions, and schedule a retry."""
+        """Send the frames and resets of these actions; schedule pending work."""
         for action in actions:
             match action:
                 case ToAgent(endpoint=endpoint, frame=frame, flow=flow):
@@ -180,13 +180,13 @@
                     self._member.send(frame, endpoint, is_control=is_control, flow=flow)
                 case ResetCaller(packet=packet):
                     self._send_reset(packet)
-        if self._retry is None and self._steering.is_waiting:
+        if self._retry_timer is None and self._steering.is_waiting:
             loop = asyncio.get_running_loop()
-            self._retry = loop.call_later(RETRY_CHECK_SECONDS, self._run_retries)
+            self._retry_timer = loop.call_later(RETRY_CHECK_SECONDS, self._run_retries)
 
     def _run_retries(self) -> None:
-        """Run the pending work of the decisions."""
-        self._retry = None
+        """Do the steering's pending work."""
+        self._retry_timer = None
         self._perform(self._steering.retry(now=_now(), draw=self._draw))
 
     def _send_reset(self, packet: Packet) -> None:
--- a/monsoonpier/balancer/packets/reservations.py
+++ b/monsoonpier/balancer/packets/reservations.py
@@ -1,10 +1,10 @@
 """Slot reservations at agents for the flows queued at this balancer.
 
-A queued flow reserves a slot at two agents, drawn by the speed of their targets, and
-stays at the balancer. The first agent with a free slot offers it and is sent the flow
-that is first in the queue by then (sampling with late binding). This takes a few
-frames a flow, however many balancers and agents there are, and shares slots among
-balancers by their queues.
+A queued flow stays at the balancer and reserves a slot at two agents, chosen at random
+and weighted by the speed of their targets. The first agent with a free slot offers it,
+and the balancer sends the flow that is then first in its queue (late binding). This
+takes a few frames per flow, however many balancers and agents there are, and gives
+balancers with longer queues more slots.
 """
 
 import random
@@ -33,8 +33,14 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class _Reservation:
-    """The reservations of one flow."""
+class _FlowReservations:
+    """The reservations of one flow.
+
+    Attributes:
+        service: The service that the flow is queued for.
+        renew_at: When to reserve at one more agent.
+        agents: Names of the agents that have the reservations.
+    """
 
     service: str
     renew_at: float
@@ -56,7 +62,7 @@
         self._context = context
         self._queues = queues
         self._is_enabled = is_enabled
-        self._reserved_by_flow: dict[bytes, _Reservation] = {}
+        self._reservations_by_flow: dict[bytes, _FlowReservations] = {}
 
     def reserve_initial(
         self, flow: bytes, *, service: str, now: float, draw: random.Random
@@ -72,7 +78,7 @@
         """Return the frames that reserve at further agents for long-waiting flows."""
         due = [
             (flow, reserved.service)
-            for flow, reserved in self._reserved_by_flow.items()
+            for flow, reserved in self._reservations_by_flow.items()
             if reserved.renew_at <= now and len(reserved.agents) < MAX_AGENTS
         ]
         return [
@@ -86,9 +92,9 @@
     def update(self, flow: bytes, *, service: str, now: float) -> list[ToAgent]:
         """Return the frames that update a queued flow's reservations at its agents.
 
-        Those of a flow that is presumed abandoned are cancelled.
+        The reservations of a flow that is presumed abandoned are cancelled.
         """
-        reserved = self._reserved_by_flow.get(flow)
+        reserved = self._reservations_by_flow.get(flow)
         waiting = self._queues.find(flow, service=service)
         if reserved is None or waiting is None:
             return []
@@ -107,7 +113,7 @@
             flow: A flow that is no longer queued.
             kept: Target whose reservation stays, since it has offered the slot.
         """
-        reserved = self._reserved_by_flow.pop(flow, None)
+        reserved = self._reservations_by_flow.pop(flow, None)
         if reserved is None:
             return []
         names = tuple(name for name in reserved.agents if name != kept)
@@ -122,7 +128,7 @@
 
     def forget(self, flow: bytes) -> None:
         """Drop a flow that is no longer queued; offers for it go to other flows."""
-        self._reserved_by_flow.pop(flow, None)
+        self._reservations_by_flow.pop(flow, None)
 
     def claim(self, offer: OfferSlot, *, now: float) -> bytes | None:
         """Remove from the queue and return the flow that fits an offered slot best.
@@ -130,11 +136,11 @@
         Returns ``None`` if no flow may take the slot.
         """
         record = self._context.membership.table.record(offer.agent)
-        if record is None or not self._queues.count_present(record.service):
+        if record is None or not self._queues.count_not_abandoned(record.service):
             return None
         service = record.service
         candidates = self._candidates(service, now=now)
-        # Its agent may not know yet that the target leaves or is evacuated.
+        # The agent may not know yet that its target is leaving or evacuated.
         accepts_flows = any(
             c.record.name == offer.agent and c.takes_flows for c in candidates
         )
@@ -143,7 +149,7 @@
         self._queues.update_late(
             service, now=now, run_seconds=fast_service_seconds(candidates)
         )
-        # The flow is served after the request in progress there.
+        # The target serves the flow after the request in progress.
         service_times = MARGIN_RUNS + QUEUE_AHEAD / record.slots
         return self._queues.pop_for(
             service,
@@ -164,14 +170,14 @@
     def _reserve(
         self, flow: bytes, *, service: str, count: int, now: float, draw: random.Random
     ) -> list[ToAgent]:
-        """Reserve slots for a flow at further agents."""
+        """Return the frames that reserve slots for a flow at further agents."""
         waiting = self._queues.find(flow, service=service)
         if waiting is None:
             self.forget(flow)
             return []
         if waiting.is_doubtful:
             return []
-        previous = self._reserved_by_flow.get(flow)
+        previous = self._reservations_by_flow.get(flow)
         earlier = previous.agents if previous is not None else ()
         usable = [
             candidate
@@ -181,7 +187,7 @@
             and candidate.record.name not in earlier
         ]
         names = _sample(usable, count=count, draw=draw)
-        self._reserved_by_flow[flow] = _Reservation(
+        self._reservations_by_flow[flow] = _FlowReservations(
             service=service,
             renew_at=now + RENEW_SECONDS,
             agents=(*earlier, *names),
@@ -199,7 +205,7 @@
 def _sample(
     candidates: Sequence[Candidate], *, count: int, draw: random.Random
 ) -> list[str]:
-    """Draw distinct targets at random, weighted by speed."""
+    """Return the names of distinct targets drawn at random, weighted by speed."""
     keyed = [
         (draw.random() ** (1 / requests_per_second(c)), c.record.name)
         for c in candidates
--- a/monsoonpier/balancer/packets/returning.py
+++ b/monsoonpier/balancer/packets/returning.py
@@ -1,8 +1,8 @@
-"""Rejected callers that come back on a new flow.
+"""Recognition of rejected callers that retry on a new flow.
 
-A caller that is rejected opens another flow at once. Taken for a new caller it would
-overtake flows that can still be served in time, though its own deadline counts from
-its first attempt.
+A rejected caller opens another flow at once. If that flow counted as a new request, it
+would overtake flows that can still be served in time, although its own deadline counts
+from the caller's first attempt.
 """
 
 from collections import OrderedDict, deque
@@ -13,8 +13,8 @@
 
 __all__ = ["EarlierAttempt", "ReturningCallers"]
 
-# A flow that arrives later counts as a new request; callers that were rejected come
-# back sooner.
+# A flow that arrives later counts as a new request; rejected callers retry
+# sooner.
 RETURN_WINDOW_SECONDS = 0.2
 MAX_ATTEMPTS = 3  # per request, in the callers' library
 MAX_CALLERS = 8_192
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EarlierAttempt:
-    """The attempts so far of a request that was rejected.
+    """The latest attempt of a request whose attempts so far were rejected.
 
     Attributes:
         first_attempt_at: When the caller made its first attempt, as far as is known.
-        attempts: How many attempts it has made.
+        attempts: How many attempts it has made, including this one.
     """
 
     first_attempt_at: float
@@ -35,12 +35,12 @@
 
     @property
     def is_last(self) -> bool:
-        """Whether the caller makes no further attempt for this request."""
+        """Whether the caller makes no further attempt after this one."""
         return self.attempts >= MAX_ATTEMPTS
 
 
 class ReturningCallers:
-    """Attempts of rejected callers, by caller and service address. Does no I/O."""
+    """Rejected attempts, by caller and service address. Does no I/O."""
 
     def __init__(self, *, most: int = MAX_CALLERS) -> None:
         self._most = most
@@ -56,45 +56,61 @@
 
         Args:
             packet: A packet of the flow, which names caller and service address.
-            first_attempt_at: When the caller made its first attempt, if known.
+            first_attempt_at: When the caller made its first attempt, as far as known.
             now: The current time.
         """
         earlier = EarlierAttempt(first_attempt_at=first_attempt_at)
-        self.record(packet.caller_ip, packet.service_address, earlier, back_at=now)
+        self.record(
+            packet.caller_ip, packet.service_address, earlier, next_attempt_at=now
+        )
 
     def find_earlier(self, packet: Packet, *, now: float) -> EarlierAttempt | None:
-        """Return the earlier attempt of a new flow's caller, if it was rejected."""
+        """Remove and return the rejected attempt that a new flow repeats, if any."""
         return self.claim(
-            packet.caller_ip, packet.service_address, came_at=now, now=now
+            packet.caller_ip, packet.service_address, opened_at=now, now=now
         )
 
     def record(
-        self, caller: str, service: Address, earlier: EarlierAttempt, *, back_at: float
+        self,
+        caller: str,
+        service: Address,
+        earlier: EarlierAttempt,
+        *,
+        next_attempt_at: float,
     ) -> None:
-        """Record that a rejected caller may come back from ``back_at`` on."""
+        """Record a rejected attempt, which may be repeated at ``next_attempt_at``."""
         key = (caller, service)
         rejections = self._rejections_by_caller.setdefault(
             key, deque(maxlen=MAX_REJECTIONS)
         )
-        rejections.append((back_at, earlier))
+        rejections.append((next_attempt_at, earlier))
         self._rejections_by_caller.move_to_end(key)
         while len(self._rejections_by_caller) > self._most:
             self._rejections_by_caller.popitem(last=False)
 
     def claim(
-        self, caller: str, service: Address, *, came_at: float, now: float
+        self, caller: str, service: Address, *, opened_at: float, now: float
     ) -> EarlierAttempt | None:
-        """Remove and return the earlier attempt of a caller that has come back.
+        """Remove and return the rejected attempt that a caller's new flow repeats.
+
+        Each rejection is used for one flow.
+
+        Args:
+            caller: The caller's IP address.
+            service: The address of the service.
+            opened_at: When the caller opened the new flow.
+            now: The current time.
 
-        Each rejection is used once.
+        Returns:
+            The attempt; ``None`` if the flow is a new request.
         """
         rejections = self._rejections_by_caller.get((caller, service), deque())
-        # Rejections are not ordered by `back_at`: callers also give up on their own.
+        # Rejections are not ordered by time, as some callers give up by themselves.
         for rejection in list(rejections):
-            back_at, earlier = rejection
-            if now - back_at > RETURN_WINDOW_SECONDS:
+            next_attempt_at, earlier = rejection
+            if now - next_attempt_at > RETURN_WINDOW_SECONDS:
                 rejections.remove(rejection)
-            elif back_at <= came_at:
+            elif next_attempt_at <= opened_at:
                 rejections.remove(rejection)
                 return earlier
         return None
--- a/monsoonpier/balancer/packets/service_queues.py
+++ b/monsoonpier/balancer/packets/service_queues.py
@@ -1,8 +1,8 @@
 """Queues of SYNs that wait at a balancer for a free slot.
 
-Used while all slots of a service are taken and the queues of its agents are full. A
-SYN sent to a busy target would wait there even if another target had a free slot
-earlier; one that is queued here goes to the first free slot (late binding).
+They are used while all slots of a service are taken and the queues of its agents are
+full. A SYN sent to a busy target would wait there even if another target had a free
+slot earlier; a SYN that is queued here goes to the first free slot (late binding).
 """
 
 from monsoonpier.model.waiting import WaitingFlow, WaitingQueue
@@ -33,28 +33,28 @@
 
     @property
     def flows_by_service(self) -> dict[str, list[WaitingFlow]]:
-        """Queued flows by service; too slow to be called for each packet."""
+        """Queued flows by service; too slow to be read for each packet."""
         return {name: queue.flows for name, queue in self._queues_by_service.items()}
 
     def ahead(self, waiting: WaitingFlow, *, service: str, in_time: bool) -> int:
-        """Return how many queued flows would go before another one.
+        """Return how many queued flows would be served before a given one.
 
         Args:
-            waiting: The other flow.
-            service: The service that it waits for.
-            in_time: Whether it can still meet its latency target.
+            waiting: The given flow, which is not queued.
+            service: The service that the flow is for.
+            in_time: Whether the flow can still meet its latency target.
         """
         queue = self._queues_by_service.get(service)
         if queue is None:
             return 0
         return queue.ahead(waiting, in_time=in_time)
 
-    def waiting(self, service: str) -> int:
+    def count_queued(self, service: str) -> int:
         """Return how many flows are queued for the service."""
         return len(self._queues_by_service.get(service, ()))
 
-    def count_present(self, service: str) -> int:
-        """Return how many flows queued for the service aren't presumed abandoned."""
+    def count_not_abandoned(self, service: str) -> int:
+        """Return how many of the service's queued flows are not presumed abandoned."""
         queue = self._queues_by_service.get(service)
         return queue.certain if queue is not None else 0
 
@@ -76,7 +76,7 @@
             queue.add(waiting)
 
     def update_late(self, service: str, *, now: float, run_seconds: float) -> bool:
-        """Reclassify flows as late; return whether one in time is left."""
+        """Reclassify flows that have become late; return whether any is in time."""
         queue = self._queues_by_service[service]
         queue.sort_out(now=now, run_seconds=run_seconds)
         return queue.timely > 0
@@ -90,6 +90,11 @@
     def pop_for(self, service: str, *, is_late_turn: bool, answered_at: float) -> bytes:
         """Remove and return the flow that fits a given slot best.
 
+        Args:
+            service: The service that the slot belongs to.
+            is_late_turn: Whether to prefer a late flow.
+            answered_at: When a response from this slot is expected.
+
         Raises:
             LookupError: If no flow is queued for the service.
         """
@@ -103,7 +108,7 @@
         queue = self._queues_by_service.get(service)
         return queue.find(flow) if queue is not None else None
 
-    def expired(self, *, now: float) -> list[bytes]:
+    def pop_expired(self, *, now: float) -> list[bytes]:
         """Remove and return the flows that have waited too long."""
         flows = [
             waiting.flow
--- a/monsoonpier/balancer/packets/shares.py
+++ b/monsoonpier/balancer/packets/shares.py
@@ -1,9 +1,9 @@
 """Weighted choice of a new flow's service, and the earlier services of routes.
 
-Weights allow gradual rollouts of a new version of a service. The choice is a hash of
-the flow's addresses and ports, so that all balancers choose alike for each
-retransmission of a SYN. The share of a service without a serving target goes to the
-others by their weights. A service whose targets are full keeps its share, since
+Weights allow gradual rollouts of a new version of a service. The choice depends on a
+hash of the flow's addresses and ports, so that all balancers choose the same service
+for each retransmission of a SYN. The share of a service without a serving target goes
+to the others by their weights. A service whose targets are full keeps its share, since
 operators limit a service's load by its weight.
 """
 
@@ -61,7 +61,7 @@
         self._services_by_address: dict[Address, frozenset[str]] = {}
 
     def configured(self, routes_by_address: Mapping[Address, PacketRoute]) -> None:
-        """Apply the routes of a newer version; drop addresses without a route."""
+        """Apply a newer configuration's routes; drop addresses without a route."""
         services_by_address = {}
         for address, route in routes_by_address.items():
             before = self._routes_by_address.get(address, route)
--- a/monsoonpier/balancer/packets/steering.py
+++ b/monsoonpier/balancer/packets/steering.py
@@ -39,7 +39,10 @@
 
 
 class PacketSteering:
-    """Handles callers' packets and frames of agents and balancers. Does no I/O."""
+    """Decides where callers' packets go and what to reply to agents and balancers.
+
+    Does no I/O: methods return the actions that the process then performs.
+    """
 
     def __init__(
         self,
@@ -89,7 +92,7 @@
         self._context.wait_statistics.configured(self._services)
 
     def waiting_summaries(self, *, now: float) -> tuple[WaitingSummary, ...]:
-        """Return waiting, served and rejected flows by service and priority."""
+        """Return counts of queued, served and rejected flows, by traffic class."""
         return self._summaries(self._services, now=now)
 
     @property
@@ -101,7 +104,10 @@
     def _summaries(
         self, services: Collection[str], *, now: float
     ) -> tuple[WaitingSummary, ...]:
-        """Return summaries of all classes; queued flows only of these services."""
+        """Return the summaries of all traffic classes.
+
+        Queued flows are counted only for these services; other summaries show none.
+        """
         flows_by_service = self._new_flows.waiting_by_service
         waits_by_service = {
             service: ServiceWaits(
@@ -122,14 +128,14 @@
         return None if entry is None else entry.first_attempt_at
 
     def retry(self, *, now: float, draw: random.Random) -> list:
-        """Do pending work; call it again soon while `is_waiting`."""
+        """Do the pending work; to be called repeatedly while `is_waiting`."""
         if self._context.wait_statistics.is_log_due(now=now):
             self._log_waits(now=now)
         return self._new_flows.retry(now=now, draw=draw) + self._resolver.retry(now=now)
 
     def _log_waits(self, *, now: float) -> None:
-        """Log a line for each class with queued or rejected flows."""
-        # Only services with queued flows: going through all targets takes too long.
+        """Log a line for each traffic class with queued or rejected flows."""
+        # Only services with queued flows: going through all targets is slow.
         flows_by_service = self._new_flows.waiting_by_service
         services = [name for name, flows in flows_by_service.items() if flows]
         summaries = self._summaries(services, now=now)
@@ -213,7 +219,7 @@
         return []
 
     def _note_served(self, entry: FlowEntry, *, data_centre: str, now: float) -> None:
-        """Count a flow that a target has accepted; each counts once."""
+        """Count a flow as served when a target accepts it for the first time."""
         if entry.is_accepted or entry.is_confirmed or entry.syn is None:
             return
         route = self._context.route(entry.syn)
@@ -239,11 +245,14 @@
         entry.owners = (frame.agent,)
         entry.is_confirmed = True
         entry.syn = None
-        self._resolver.note_owner(frame.flow, frame.agent, now=now)
+        self._resolver.schedule_registration(frame.flow, frame.agent, now=now)
         return self._resolver.finish_lookup(entry)
 
     def _on_owners_gone(self, packet: Packet, entry: FlowEntry, *, now: float) -> list:
-        """Reset a flow whose owner has ended; look it up if no agent confirmed it."""
+        """Reset a flow whose owner has ended, if an agent had confirmed that owner.
+
+        Otherwise another target may own the flow, and its owner is looked up again.
+        """
         self._context.flows.drop(packet.flow)
         if not entry.is_confirmed:
             return self._resolver.resolve(packet, now=now)
--- a/monsoonpier/balancer/packets/target_instances.py
+++ b/monsoonpier/balancer/packets/target_instances.py
@@ -1,8 +1,8 @@
 """Start times of target instances, as their agents report them.
 
-A balancer that has just started may not know all agents yet, so it can't reset a flow
-on the replies of those it knows. How long it waits for others depends on whether the
-targets started with it, after a power loss, or were running before.
+A balancer that has just started may not know all agents yet, so it must not reset a
+flow only because all known agents deny it. How long it waits for unknown agents depends
+on whether the targets started with it, after a power loss, or were running before.
 """
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 __all__ = ["TargetInstances"]
 
 MAX_NAMES = 16_384
-SAME_OUTAGE_SECONDS = 3.0  # greatest difference of VM starts after a power loss
+SAME_OUTAGE_SECONDS = 3.0  # greatest difference of start times after a power loss
 
 
 class TargetInstances:
@@ -55,9 +55,10 @@
         return name in self._started_at_by_name
 
     def is_absent(self, name: str, *, now: float) -> bool:
-        """Return whether an agent has found no target for so long that it has none.
+        """Return whether an agent's target has been absent for `ABSENT_SECONDS`.
 
-        The agent may have been removed with its VM since.
+        The time counts from the first report of its absence, also if the agent sends
+        no further report, as when its VM was removed.
         """
         since = self._absent_since_by_name.get(name, now)
         return now - since >= ABSENT_SECONDS
@@ -70,7 +71,10 @@
     def any_started_before(
         self, names: Iterable[str], *, balancer_started_at: float
     ) -> bool:
-        """Return whether any of these targets is older than the balancer."""
+        """Return whether any of these targets was running before the balancer started.
+
+        Targets without a report are ignored; those of unknown age count as older.
+        """
         earliest = balancer_started_at - SAME_OUTAGE_SECONDS
         known_names = [n for n in names if n in self._started_at_by_name]
         started_at = [self._started_at_by_name[name] for name in known_names]
@@ -81,7 +85,8 @@
     ) -> bool:
         """Return whether all of these targets started about when the balancer did.
 
-        Then power was lost everywhere, and no earlier flow is open.
+        Targets that are absent are ignored. If the result is true, power was lost
+        everywhere, and no flow from before is open.
         """
         earliest = balancer_started_at - SAME_OUTAGE_SECONDS
         latest = balancer_started_at + SAME_OUTAGE_SECONDS
--- a/monsoonpier/balancer/packets/wait_metrics.py
+++ b/monsoonpier/balancer/packets/wait_metrics.py
@@ -1,7 +1,7 @@
 """Metrics of waiting, served and rejected flows at one balancer.
 
-Labels are service, priority and data centre, and for some metrics one more, whose
-number of values `WaitStatistics` bounds.
+Labels are service, priority and data centre. Some metrics have one more label;
+`WaitStatistics` bounds the number of its values.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -17,10 +17,10 @@
 def wait_metrics(
     summaries: Iterable[WaitingSummary], *, data_centre: str
 ) -> tuple[Metric, ...]:
-    """Return the metrics.
+    """Return the metrics of waiting, served and rejected flows.
 
     Args:
-        summaries: Summary of each class.
+        summaries: Summary of each traffic class.
         data_centre: The data centre of this balancer and its callers.
     """
     shown = tuple(summaries)
@@ -94,7 +94,7 @@
 
 
 def _waits(summary: WaitingSummary) -> dict[str, float]:
-    """Return the longest wait and the expected wait of a class, in seconds."""
+    """Return a traffic class's longest and expected waits in seconds, by label."""
     waits = {"oldest": summary.oldest_seconds}
     if summary.expected_seconds is not None:
         waits["expected"] = summary.expected_seconds
--- a/monsoonpier/balancer/packets/wait_statistics.py
+++ b/monsoonpier/balancer/packets/wait_statistics.py
@@ -1,7 +1,7 @@
 """Statistics of new flows at one balancer, by service and priority.
 
-Counters are updated as flows come and go; queued flows are examined only when a
-summary is requested.
+Counters are updated when a flow arrives, is accepted or is rejected; queued flows are
+examined only when a summary is requested.
 """
 
 import math
@@ -47,16 +47,16 @@
 
     def decay(self, *, now: float) -> None:
         """Decay the counts to the current time."""
-        left = math.exp(-max(0.0, now - self.updated_at) / DECAY_SECONDS)
-        self.served *= left
-        self.refused *= left
-        self.wait_seconds *= left
+        factor = math.exp(-max(0.0, now - self.updated_at) / DECAY_SECONDS)
+        self.served *= factor
+        self.refused *= factor
+        self.wait_seconds *= factor
         self.updated_at = now
 
 
 @dataclass(slots=True, kw_only=True)
 class _Counts:
-    """Counts of one class since the start."""
+    """Counts of one traffic class since the start."""
 
     aim_seconds: float
     asked: int = 0
@@ -68,7 +68,7 @@
 
 
 class WaitStatistics:
-    """Counts new flows by service and priority. Does no I/O."""
+    """Counts and waits of new flows, by traffic class. Does no I/O."""
 
     def __init__(self) -> None:
         self._counts_by_class: dict[TrafficClass, _Counts] = {}
@@ -76,7 +76,11 @@
         self._logged_by_class: dict[TrafficClass, WaitingSummary] = {}
 
     def configured(self, services: Collection[str]) -> None:
-        """Drop the statistics of all services but these, which have a route."""
+        """Drop the statistics of services without a route.
+
+        Args:
+            services: Names of the services that have a route.
+        """
         for key in list(self._counts_by_class):
             service, _ = key
             if service not in services:
@@ -134,11 +138,12 @@
         first_attempt_at: Callable[[bytes], float | None],
         now: float,
     ) -> tuple[WaitingSummary, ...]:
-        """Return a summary of each class.
+        """Return a summary of each traffic class.
 
         Args:
-            waits_by_service: Queued flows, for the services that are examined.
-            first_attempt_at: Returns when a queued flow's caller first tried.
+            waits_by_service: Queued flows and targets, for the services whose queued
+                flows are to be counted.
+            first_attempt_at: Returns when a flow's caller made its first attempt.
             now: The current time.
         """
         found = []
@@ -177,7 +182,10 @@
         return True
 
     def log_fields(self, summaries: Collection[WaitingSummary]) -> list[dict]:
-        """Return the fields of a log line for each class with queued or rejected flows.
+        """Return the fields of one log line for each class that has waits to report.
+
+        These are the traffic classes with queued flows, or with flows rejected since
+        the last call; only those with the longest waits are returned.
 
         Args:
             summaries: Current summaries of all classes.
@@ -221,8 +229,8 @@
     timely = [flow for flow in waits.flows if flow.in_time_until >= until]
     own = [flow for flow in waits.flows if flow.priority == priority]
     in_time = sum(flow.priority == priority for flow in timely)
-    moments = [first_attempt_at(flow.flow) for flow in own]
-    ages = [max(0.0, now - moment) for moment in moments if moment is not None]
+    attempt_times = [first_attempt_at(flow.flow) for flow in own]
+    ages = [max(0.0, now - at) for at in attempt_times if at is not None]
     ahead = sum(flow.priority <= priority for flow in timely)
     return {
         "in_time": in_time,
--- a/tests/packets/test_directory.py
+++ b/tests/packets/test_directory.py
@@ -53,7 +53,7 @@
                 queue += [(action.endpoint, answer) for answer in answers]
         return others
 
-    def opened(self, endpoint: tuple[str, int], number: int, *, now: float) -> None:
+    def open_flow(self, endpoint: tuple[str, int], number: int, *, now: float) -> None:
         """Open a flow at ``maps-2`` through one balancer, and register it."""
         rig = self.rigs[endpoint]
         flow = packet(number).flow
@@ -74,22 +74,22 @@
         actions = self.group.run(endpoint, rig.caller(sent, now=now), now=now)
         return rig.names(actions)
 
-    def test_moved_flow_goes_straight_to_its_owner(self) -> None:
+    def test_moved_flow_goes_to_owner_only(self) -> None:
         """A moved flow's packet is sent to its owner's agent only."""
-        self.group.opened(self.first, 1, now=CONVERGED)
+        self.group.open_flow(self.first, 1, now=CONVERGED)
         for endpoint in self.others:
             sent = packet(1, size=10)
             self.assertEqual(self.carried(endpoint, sent, now=200.0), ["maps-2"])
             self.assertEqual(self.carried(endpoint, sent, now=200.1), ["maps-2"])
 
-    def test_unregistered_flow_is_asked_of_all_agents(self) -> None:
+    def test_unregistered_flow_queries_all_agents(self) -> None:
         """The agents are queried if the directory has no entry."""
         names = self.carried(self.first, packet(9, size=10), now=200.0)
         self.assertEqual(names, ["maps-1", "maps-2", "maps-3"])
 
-    def test_keepers_that_do_not_answer(self) -> None:
+    def test_directory_timeout(self) -> None:
         """The agents are queried after 30 ms if the directory doesn't reply."""
-        self.group.opened(self.first, 1, now=CONVERGED)
+        self.group.open_flow(self.first, 1, now=CONVERGED)
         for endpoint in self.others:
             self.group.cut_off = set(self.group.rigs) - {endpoint}
             rig = self.group.rigs[endpoint]
@@ -99,9 +99,9 @@
             names = rig.names(self.group.run(endpoint, late, now=200.04))
             self.assertEqual(names, ["maps-1", "maps-2", "maps-3"])
 
-    def test_packets_wait_for_the_answer(self) -> None:
+    def test_packets_are_buffered_during_query(self) -> None:
         """Packets buffered during the query are forwarded once, in order."""
-        self.group.opened(self.first, 1, now=CONVERGED)
+        self.group.open_flow(self.first, 1, now=CONVERGED)
         self.group.cut_off = set(self.group.rigs)
         for endpoint in self.others:
             rig = self.group.rigs[endpoint]
@@ -124,7 +124,7 @@
 
     def test_stale_entry(self) -> None:
         """When the registered owner denies the flow, the other agents are queried."""
-        self.group.opened(self.first, 1, now=CONVERGED)
+        self.group.open_flow(self.first, 1, now=CONVERGED)
         rig = self.group.rigs[self.others[0]]
         sent = packet(1, size=10)
         self.carried(self.others[0], sent, now=200.0)
@@ -135,7 +135,7 @@
 
     def test_stored_owner_has_ended(self) -> None:
         """The agents are queried if the registered owner has ended."""
-        self.group.opened(self.first, 1, now=CONVERGED)
+        self.group.open_flow(self.first, 1, now=CONVERGED)
         for endpoint in self.others:
             gone = target("maps-2", host=2, epoch=2, condition=Condition.GONE)
             self.group.rigs[endpoint].learn(gone)
--- a/tests/packets/test_first_attempts.py
+++ b/tests/packets/test_first_attempts.py
@@ -1,4 +1,4 @@
-"""First attempts of callers that come back at another balancer."""
+"""First attempts of rejected callers that retry at another balancer."""
 
 import unittest
 from unittest import mock
@@ -29,18 +29,18 @@
     return replace(packet(number, syn=True), caller_ip=f"100.64.0.{caller}")
 
 
-def times(rig) -> FirstAttempts:
+def first_attempts(rig) -> FirstAttempts:
     return FirstAttempts(membership=rig.membership, returning=ReturningCallers())
 
 
 class SharedTests(unittest.TestCase):
-    """A caller rejected by one balancer comes back at another."""
+    """A caller rejected by one balancer retries at another."""
 
     def setUp(self) -> None:
         self.group = _Group(4)
         rigs = self.group.rigs
         (self.directory,) = (
-            e for e, rig in rigs.items() if not times(rig).query(syn(1))
+            e for e, rig in rigs.items() if not first_attempts(rig).query(syn(1))
         )
         self.first, self.next, _ = (e for e in rigs if e != self.directory)
         self.rig = rigs[self.first]
@@ -69,16 +69,16 @@
         (placed,) = self.retry(self.next, now=BACK + 0.01)
         return placed.frame.payload
 
-    def test_it_is_as_late_as_it_is(self) -> None:
+    def test_returning_caller_goes_after_those_in_time(self) -> None:
         """A returning caller doesn't overtake one that can still be served in time."""
         self.assertEqual(self.placed_first(), syn(3).raw)
 
-    def test_keeper_is_away(self) -> None:
+    def test_directory_balancer_is_unreachable(self) -> None:
         """Without its directory balancer a returning caller counts as new."""
         self.group.cut_off = {self.directory}
         self.assertEqual(self.placed_first(), syn(2).raw)
 
-    def test_asked_once_a_flow_that_waits(self) -> None:
+    def test_queried_once_per_queued_flow(self) -> None:
         """The first attempt is queried once, and only for queued flows."""
         (placed,) = self.group.rigs[self.next].caller(syn(9))
         self.assertIsInstance(placed.frame, ForwardPacket)
@@ -94,7 +94,7 @@
         )
         self.assertEqual(self.rig.agent(turned, syn(1), now=CONVERGED + 0.02), [])
 
-    def test_it_waits_no_longer_than_it_is_there(self) -> None:
+    def test_wait_is_limited_by_original_timeout(self) -> None:
         """A returning caller's wait is limited by its original timeout."""
         self.assertEqual(self.rig.agent(ANSWER), [])  # for a flow that is gone
         self.take(self.first, 1, now=CONVERGED)
@@ -106,10 +106,10 @@
 class DirectoryBalancerTests(unittest.TestCase):
     """Rejections and queries at a directory balancer, in any order."""
 
-    def answers(self, *refusals: tuple[int, int], questions: int = 3) -> list[int]:
-        balancer = times(next(iter(_Group(1).rigs.values())))
+    def answers(self, *rejections: tuple[int, int], questions: int = 3) -> list[int]:
+        balancer = first_attempts(next(iter(_Group(1).rigs.values())))
         caller = {"caller": "100.64.0.7", "service": (SERVICE.ip, SERVICE.port)}
-        for first_attempt_age_ms, next_attempt_ms in refusals:
+        for first_attempt_age_ms, next_attempt_ms in rejections:
             frame = AttemptRejected(
                 first_attempt_age_ms=first_attempt_age_ms,
                 next_attempt_ms=next_attempt_ms,
@@ -124,21 +124,23 @@
             for reply in balancer.reply(question, sender=sender, now=5.1)
         ]
 
-    def test_each_refusal_counts_once(self) -> None:
+    def test_each_rejection_counts_once(self) -> None:
         """Each rejection is used for one returning flow of a shared address."""
         self.assertEqual(self.answers((1_300, 0)), [1_400])
 
-    def test_long_gone_behind_one_that_gives_up_later(self) -> None:
+    def test_expired_rejection_is_not_used(self) -> None:
         """An expired rejection is not used for a new request."""
         callers = ReturningCallers()
-        for first_attempt_at, back_at in ((1.0, 3.4), (0.5, 2.0)):
+        for first_attempt_at, next_attempt_at in ((1.0, 3.4), (0.5, 2.0)):
             earlier = EarlierAttempt(first_attempt_at=first_attempt_at)
-            callers.record("100.64.0.7", SERVICE, earlier, back_at=back_at)
-        found = callers.claim("100.64.0.7", SERVICE, came_at=3.1, now=3.1)
+            callers.record(
+                "100.64.0.7", SERVICE, earlier, next_attempt_at=next_attempt_at
+            )
+        found = callers.claim("100.64.0.7", SERVICE, opened_at=3.1, now=3.1)
         self.assertIsNone(found)
 
-    def test_one_that_gives_up_later(self) -> None:
-        """A caller that gives up later doesn't hide one that is back already."""
+    def test_caller_that_gives_up_later(self) -> None:
+        """A rejection that is used only later doesn't hide one that applies now."""
         self.assertEqual(self.answers((100, 1_300), (700, 0)), [800])
 
     def test_bounded(self) -> None:
@@ -149,7 +151,7 @@
 
 
 class BurstTests(unittest.TestCase):
-    """Three seconds of 1.6 times the capacity; rejected callers come back."""
+    """A burst of 1.6 times the capacity, in which rejected callers retry."""
 
     WORLD = World(
         targets=20,
@@ -165,8 +167,8 @@
         addresses=300,
     )
 
-    def test_slots_go_to_callers_that_are_there(self) -> None:
-        """Fewer SYNs are sent for callers that have left; more are served in time."""
+    def test_slots_go_to_present_callers(self) -> None:
+        """Fewer SYNs of callers that have left are placed; more are served in time."""
         shared = Simulation(self.WORLD).run()
         with mock.patch.object(FirstAttempts, "_directory_balancer", return_value=None):
             alone = Simulation(self.WORLD).run()
--- a/tests/packets/test_placement.py
+++ b/tests/packets/test_placement.py
@@ -16,7 +16,7 @@
 
 
 def candidate(number: int, *, draw: random.Random, **load) -> Candidate:
-    """Return an idle target whose runs took 5 ms, give or take one."""
+    """Return a target with a service time of 4 to 6 ms, idle unless a load is given."""
     target = record(
         f"logs-{number}", host=number, data_centre=f"dc-{number % DATA_CENTRES}"
     )
@@ -25,13 +25,13 @@
 
 
 class NearnessTests(unittest.TestCase):
-    """Uploads of 40 KB in five data centres, 1.4 ms apart."""
+    """Large uploads and small flows in five data centres."""
 
     def setUp(self) -> None:
         self.draw = random.Random(5)
 
     def near_share(self, *, short_bytes: float, near_load: dict | None = None) -> float:
-        """Return how many of 400 flows stay in their data centre."""
+        """Return the share of 400 flows that stay in their data centre."""
         near = 0
         for _ in range(400):
             candidates = [
@@ -87,7 +87,7 @@
         self.assertNotEqual(chosen.record.data_centre, "dc-0")
 
 
-class HabitTests(unittest.TestCase):
+class FlowStatisticsTests(unittest.TestCase):
     """Statistics of the flows of one address."""
 
     def observe(
--- a/tests/packets/test_presence.py
+++ b/tests/packets/test_presence.py
@@ -17,19 +17,19 @@
         self.presence = CallerPresence()
         self.presence.track(FLOW, first_syn_at=0.0, latest_syn_offset=0.0, now=0.0)
 
-    def test_copy_came(self) -> None:
+    def test_retransmission_on_time(self) -> None:
         """A caller that retransmits on time is present."""
         self.presence.note_retransmission(FLOW, waited=0.2)
         self.assertEqual(self.presence.pop_abandoned(now=FIRST), [])
 
-    def test_copy_lost(self) -> None:
+    def test_retransmission_lost(self) -> None:
         """A flow is presumed abandoned from a lost retransmission to the next."""
         self.assertEqual(self.presence.pop_abandoned(now=FIRST), [FLOW])
         self.assertTrue(self.presence.note_retransmission(FLOW, waited=0.6))
         self.assertFalse(self.presence.is_presumed_abandoned(FLOW))
         self.assertEqual(self.presence.pop_abandoned(now=SECOND), [])
 
-    def test_waits_again(self) -> None:
+    def test_retransmission_before_queueing(self) -> None:
         """A retransmission received before the flow was queued counts."""
         self.presence.forget(FLOW)
         self.assertFalse(
@@ -43,7 +43,7 @@
             )
         )
 
-    def test_doubtful_ones_go_last(self) -> None:
+    def test_abandoned_flows_go_last(self) -> None:
         """Flows presumed abandoned go last, even after late ones."""
         queue = WaitingQueue()
         for flow, aim, is_doubtful in ((b"1", 9.0, True), (b"2", 0.0, False)):
--- a/tests/packets/test_processes.py
+++ b/tests/packets/test_processes.py
@@ -168,8 +168,8 @@
         for number in range(3, 7):
             await deployment.start_pair(f"maps-{number}", "maps")
         load = await self._load(deployment)
-        silent = [await deployment.caller.open(SERVICES["maps"]) for _ in range(4)]
-        for flow in silent:
+        idle_flows = [await deployment.caller.open(SERVICES["maps"]) for _ in range(4)]
+        for flow in idle_flows:
             self.assertTrue(await load.request(flow, "maps"))
         nodes = list(deployment.nodes_by_name.values())
         deployment.update_rotation("lb-1", "lb-2", out=True)
@@ -184,7 +184,7 @@
         before = load.counts["answered"]
         await asyncio.sleep(1.0)
         self.assertGreater(load.counts["answered"], before + 10, load.reasons)
-        for flow in silent:
+        for flow in idle_flows:
             self.assertTrue(await load.request(flow, "maps"), load.reasons)
         metric = 'monsoonpier_flow_decisions_total{result="passed_on"}'
         counts = [await deployment.metric(name, metric) for name, _ in agents]
--- a/tests/packets/test_recovery.py
+++ b/tests/packets/test_recovery.py
@@ -27,18 +27,18 @@
 
 
 class PowerTests(unittest.TestCase):
-    """Dead long flows, cold targets, and all callers back at once."""
+    """Dead long flows, cold targets, and all callers sending at once."""
 
     def in_time(self, world: World, since: float, until: float) -> float:
         simulation = Simulation(world)
         simulation.run()
         return simulation.in_time_between(since, until)
 
-    def test_soon_as_before(self) -> None:
+    def test_recovers_within_a_second(self) -> None:
         """A second after power returns, nearly all requests are served in time."""
         self.assertGreater(self.in_time(WORLD, BACK + 1, BACK + 3), 0.95)
 
-    def test_dead_flows_are_answered_at_once(self) -> None:
+    def test_dead_flows_are_reset_at_once(self) -> None:
         """Dead flows are reset without a long wait for unknown agents."""
         many = replace(WORLD, long_flows=60)
         soon = self.in_time(many, BACK, BACK + 0.6)
@@ -73,18 +73,18 @@
     )
     SEEDS = (1, 2, 3)
 
-    def worth(self, world: World, since: float, until: float) -> float:
-        """Return the mean worth of the responses in that time."""
-        worths = []
+    def score(self, world: World, since: float, until: float) -> float:
+        """Return the mean score of the responses in that time."""
+        scores = []
         for seed in self.SEEDS:
             simulation = Simulation(replace(world, seed=seed))
             simulation.run()
-            worths.append(simulation.score_between(since, until))
-        return sum(worths) / len(worths)
+            scores.append(simulation.score_between(since, until))
+        return sum(scores) / len(scores)
 
-    def test_backlog_makes_nobody_late(self) -> None:
+    def test_backlog_delays_no_new_caller(self) -> None:
         """New callers are served in time while the backlog is worked off."""
-        self.assertGreater(self.worth(self.WORLD, 6.96, 8.96), 0.93)
+        self.assertGreater(self.score(self.WORLD, 6.96, 8.96), 0.93)
 
     def test_burst(self) -> None:
         """At four times the load, all slots serve flows that are in time."""
@@ -95,4 +95,4 @@
             outage=(0.0, 0.0),
             bursts=((5.0, 7.0, 4.0),),
         )
-        self.assertGreater(self.worth(burst, 5.0, 7.0), 0.66)
+        self.assertGreater(self.score(burst, 5.0, 7.0), 0.66)
--- a/tests/packets/test_reservations.py
+++ b/tests/packets/test_reservations.py
@@ -78,7 +78,7 @@
         offered = [self.offer() for _ in range(4)]
         self.assertEqual(offered, [NEXT_BALANCER, OTHER_BALANCER, BALANCER, None])
 
-    def test_silent_balancer_loses_its_turns(self) -> None:
+    def test_unresponsive_balancer_loses_reservations(self) -> None:
         """A balancer that has ended costs two offer timeouts, not one per flow."""
         for number in range(5):
             self.reserve(number, BALANCER, in_time_ms=300)
@@ -94,7 +94,7 @@
         self.assertEqual(self.offer(now=now), OTHER_BALANCER)
         self.assertEqual(len(self.reservations), 0)
 
-    def test_slow_balancer_keeps_its_turns(self) -> None:
+    def test_slow_balancer_keeps_reservations(self) -> None:
         """One late reply to an offer loses no reservation."""
         for number in range(3):
             self.reserve(number, BALANCER, in_time_ms=300)
@@ -105,7 +105,7 @@
             self.reservations.taken(BALANCER)
         self.assertEqual(len(self.reservations), 1)
 
-    def test_several_that_pass_at_once(self) -> None:
+    def test_several_offers_expire_at_once(self) -> None:
         """A balancer that misses several offers at once keeps its reservations."""
         for number in range(4):
             self.reserve(number, BALANCER, in_time_ms=300)
@@ -113,7 +113,7 @@
         self.reservations.expire(now=OFFER_SECONDS)
         self.assertEqual(len(self.reservations), 2)
 
-    def test_taken_back_by_its_own_balancer_only(self) -> None:
+    def test_cancelled_by_own_balancer_only(self) -> None:
         """A retransmission queued elsewhere doesn't cancel the reservation."""
         self.reserve(1, BALANCER)
         self.reserve(1, OTHER_BALANCER, wait_ms=0)
@@ -139,12 +139,12 @@
 
 
 class LateTests(unittest.TestCase):
-    """Flows in time that use all slots, and late ones queued beside them."""
+    """Late flows that are queued while flows in time use all slots."""
 
     RUN_SECONDS = 0.04
 
     def late_turns(self, *, late: int, wait_ms: int, offers: int = 64) -> int:
-        """Return how many of the offers are for late ones."""
+        """Return how many of the offers are for late flows."""
         reservations = Reservations()
         for number in range(offers):
             frame = reserve(number, in_time_ms=3_000)
@@ -158,19 +158,19 @@
         ]
         return sum(offer.is_late_turn for offer in found if offer is not None)
 
-    def test_few_wait_their_turn(self) -> None:
-        """Late flows with time left get one slot in sixteen and don't starve."""
+    def test_few_late_flows_are_served(self) -> None:
+        """Late flows with time left get one slot in sixteen, so that none starves."""
         self.assertEqual(
             self.late_turns(late=4, wait_ms=2_900), 64 // LATE_TURN_INTERVAL
         )
 
-    def test_what_can_be_served_is_served(self) -> None:
+    def test_late_burst_is_served(self) -> None:
         """After a short burst all late flows are served."""
         turns = self.late_turns(late=16, wait_ms=1_200)
         self.assertGreater(turns, 2 * 64 // LATE_TURN_INTERVAL)
         self.assertLessEqual(turns, 16)
 
-    def test_more_than_can_be_served(self) -> None:
+    def test_late_flows_beyond_capacity(self) -> None:
         """Late flows that would expire anyway don't displace those in time."""
         self.assertEqual(
             self.late_turns(late=200, wait_ms=1_200), 64 // LATE_TURN_INTERVAL
@@ -178,14 +178,14 @@
 
 
 class AgentTests(unittest.TestCase):
-    """A target of one slot, used by flow 1, with another flow behind it."""
+    """An agent whose target has one slot, which flow 1 uses."""
 
     def setUp(self) -> None:
         self.owner = owner(slots=1)
         self.run_request(1, now=1.0)
 
     def run_request(self, number: int, *, now: float) -> None:
-        self.bring(number, now=now, is_offered=False)
+        self.send_syn(number, now=now, is_offered=False)
         self.owner.from_target(answer(number, syn=True), now=now)
         sent = packet(number, size=10)
         self.owner.from_balancer(
@@ -195,7 +195,7 @@
             now=now,
         )
 
-    def bring(self, number: int, *, now: float, is_offered: bool = True) -> list:
+    def send_syn(self, number: int, *, now: float, is_offered: bool = True) -> list:
         sent = packet(number, syn=True)
         frame = ForwardPacket(
             service="maps",
@@ -210,32 +210,32 @@
     def reserve(self, number: int, *, now: float = 1.0, balancer=BALANCER) -> list:
         return self.owner.reserve(reserve(number), balancer=balancer, now=now)
 
-    def test_next_request_comes_during_the_run(self) -> None:
+    def test_next_flow_opens_during_run(self) -> None:
         """The next flow opens while the slot is in use, so the slot is never empty."""
         self.assertEqual(len(frames(self.reserve(2), OfferSlot)), 1)
-        actions = self.bring(2, now=1.004)
+        actions = self.send_syn(2, now=1.004)
         self.assertEqual([a.raw for a in actions], [packet(2, syn=True).raw])
 
     def test_no_more_than_one_ahead(self) -> None:
         """A flow that would wait longer than one request is not sent ahead."""
         self.reserve(2)
         self.assertEqual(frames(self.reserve(3), OfferSlot), [])
-        self.bring(2, now=1.004)
+        self.send_syn(2, now=1.004)
         done = self.owner.from_target(answer(1, size=50), now=1.02)
         self.assertEqual(len(frames(done, OfferSlot)), 1)
 
-    def test_decline_goes_on_to_another(self) -> None:
+    def test_declined_slot_is_offered_again(self) -> None:
         """A declined slot is offered to the next balancer at once."""
         self.reserve(2)
         self.reserve(3, balancer=OTHER_BALANCER)
         actions = self.owner.declined(balancer=BALANCER, now=1.003)
         self.assertEqual([a.endpoint for a in actions], [OTHER_BALANCER])
 
-    def test_unasked_flows_go_back(self) -> None:
+    def test_flow_without_offer_is_rejected(self) -> None:
         """A flow sent without an offer doesn't overtake reservations."""
         self.reserve(2)
         self.assertEqual(
-            len(frames(self.bring(3, now=1.001, is_offered=False), SynRejected)), 1
+            len(frames(self.send_syn(3, now=1.001, is_offered=False), SynRejected)), 1
         )
         self.assertGreater(self.owner.load(now=1.001).in_flight, 1)
 
@@ -245,7 +245,7 @@
         self.owner.condition = Condition.LEAVING
         self.assertEqual(frames(self.owner.expire(now=1.1), OfferSlot), [])
         self.assertEqual(frames(self.reserve(3, now=1.1), OfferSlot), [])
-        refused = frames(self.bring(2, now=1.1), SynRejected)
+        refused = frames(self.send_syn(2, now=1.1), SynRejected)
         self.assertEqual([frame.reason for frame in refused], ["leaving"])
 
     def test_connection_limit(self) -> None:
@@ -263,15 +263,15 @@
         offers = [frames(self.reserve(number), OfferSlot) for number in range(4)]
         self.assertEqual([len(found) for found in offers], [1, 1, 0, 0])
 
-    def test_offered_slot_is_kept(self) -> None:
+    def test_offered_slot_stays_reserved(self) -> None:
         """A flow sent without an offer doesn't take an offered slot."""
         self.owner = owner(slots=1)
         self.reserve(2)
         self.reserve(3, balancer=OTHER_BALANCER)
-        unasked = self.bring(9, now=1.001, is_offered=False)
+        unasked = self.send_syn(9, now=1.001, is_offered=False)
         self.assertEqual(len(frames(unasked, SynRejected)), 1)
 
-    def test_offer_that_is_not_answered(self) -> None:
+    def test_unanswered_offer_expires(self) -> None:
         """An unanswered offer expires, and others get the slot."""
         self.reserve(2)
         self.reserve(3, balancer=OTHER_BALANCER)
@@ -304,7 +304,7 @@
         self.rig.report("maps-1", now=CONVERGED, in_flight=3)
         self.assertEqual(self.rig.caller(packet(syn=True)), [])
 
-    def test_offer_takes_the_first_by_then(self) -> None:
+    def test_flow_is_chosen_at_offer(self) -> None:
         """The flow is chosen when a slot is offered, not when it was reserved."""
         self.rig.caller(packet(1, syn=True), now=CONVERGED)
         self.rig.caller(packet(2, syn=True), now=CONVERGED + 0.01)
@@ -314,7 +314,7 @@
         )
         self.assertTrue(frames(actions, ForwardPacket)[0].is_offered)
 
-    def test_nothing_left(self) -> None:
+    def test_offer_without_queued_flow(self) -> None:
         """An offer without a queued flow is declined."""
         self.rig.caller(packet(1, syn=True))
         self.offer()
@@ -337,7 +337,7 @@
         self.assertEqual(len(reserved), 1)  # the only agent without a reservation
         self.assertLessEqual(RESERVATIONS_PER_FLOW + len(reserved), MAX_AGENTS)
 
-    def test_new_request_after_the_last_try(self) -> None:
+    def test_new_request_after_last_attempt(self) -> None:
         """A caller that has used up its attempts counts as new."""
         in_time_ms = []
         now = CONVERGED
@@ -366,7 +366,7 @@
         self.rig.membership.configure(Configuration(version=2))
         self.assertEqual(resets(self.offer()), ["no route"])
 
-    def test_caller_that_left(self) -> None:
+    def test_abandoned_flow(self) -> None:
         """Reservations of a flow that is presumed abandoned are cancelled."""
         begun = self.rig.caller(packet(1, syn=True))
         for number in (1, 2, 3):
@@ -381,7 +381,7 @@
         later = self.rig.steering.retry(now=CONVERGED + 0.61, draw=self.rig.draw)
         self.assertEqual(later, [])
 
-    def test_refused_while_reserved(self) -> None:
+    def test_expired_while_reserved(self) -> None:
         """An expired flow is reset, and later offers are declined."""
         self.rig.caller(packet(1, syn=True))
         for number in (1, 2, 3):
--- a/tests/packets/test_shares.py
+++ b/tests/packets/test_shares.py
@@ -38,7 +38,7 @@
     )
 
 
-def held(agent: str, sent: Packet) -> FlowOwned:
+def owned(agent: str, sent: Packet) -> FlowOwned:
     return FlowOwned(flow=sent.flow, agent=agent, load=load(number=9), is_open=True)
 
 
@@ -130,7 +130,7 @@
         self.assertEqual(opened, undisturbed.steering.opened_by_service)
 
     def test_service_whose_targets_leave(self) -> None:
-        """Its share goes to the others, but only once all targets are known."""
+        """A leaving service's share goes to the others, once all targets are known."""
         undisturbed = self.services(self.rig())
         for now, expected in ((CONVERGED, ["maps"] * 40), (0.5, undisturbed)):
             rig = self.rig()
@@ -148,7 +148,7 @@
             if isinstance(a.frame, OwnershipQuery)
         }
 
-    def test_restarted_balancer_asks_all_services(self) -> None:
+    def test_restarted_balancer_queries_all_services(self) -> None:
         """A flow is reset once agents of all services of its route have denied it."""
         rig = self.rig()
         every = {(1, "maps"), (2, "maps"), (3, "logs"), (4, "logs")}
@@ -161,7 +161,7 @@
                 sent = packet(flow)
                 frame = FlowNotOwned(agent=name, flow=sent.flow, payload=sent.raw)
                 if name == owner:
-                    frame = held(name, sent)
+                    frame = owned(name, sent)
                 actions = rig.agent(frame, sent, now=now)
             self.assertEqual(len(resets(actions)), owner is None)
         carried = rig.caller(packet(2), now=103.0)
@@ -191,7 +191,7 @@
         rig = self.rig(maps=1)
         placed = rig.caller(packet(syn=True))
         (name,) = rig.names(placed)
-        rig.agent(held(name, packet()))
+        rig.agent(owned(name, packet()))
         self.configure(rig, shared(logs=1))
         self.assertEqual(rig.names(rig.caller(packet())), [name])
         new = rig.caller(packet(7, syn=True))
--- a/tests/packets/test_steering.py
+++ b/tests/packets/test_steering.py
@@ -35,7 +35,7 @@
 OTHER_ADDRESS = Address(ip="198.18.0.9", port=1)
 
 
-def held(agent: str, sent, *, is_open: bool = True) -> FlowOwned:
+def owned(agent: str, sent, *, is_open: bool = True) -> FlowOwned:
     return FlowOwned(flow=sent.flow, agent=agent, load=load(number=9), is_open=is_open)
 
 
@@ -43,7 +43,7 @@
     return FlowNotOwned(agent=agent, flow=sent.flow, payload=sent.raw)
 
 
-def turned(agent: str, sent, **fields) -> SynRejected:
+def rejected(agent: str, sent, **fields) -> SynRejected:
     more = {"tried": (agent,), "reason": "busy", "load": load(number=9)} | fields
     return SynRejected(agent=agent, payload=sent.raw, **more)
 
@@ -54,33 +54,33 @@
     def setUp(self) -> None:
         self.rig = SteeringRig(targets=3)
 
-    def test_copy_goes_to_the_same_target(self) -> None:
+    def test_retransmission_goes_to_same_target(self) -> None:
         """A retransmitted SYN is not placed again."""
         first = self.rig.names(self.rig.caller(packet(syn=True)))
-        self.rig.agent(held(first[0], packet(), is_open=False))
+        self.rig.agent(owned(first[0], packet(), is_open=False))
         copies = [self.rig.caller(packet(syn=True), now=100.2 + n) for n in range(3)]
         self.assertEqual([self.rig.names(c) for c in copies], [first] * 3)
 
-    def test_turned_away_goes_on_at_once(self) -> None:
+    def test_rejected_syn_is_placed_again(self) -> None:
         """A SYN that an agent rejects is sent to another target at once."""
         first = self.rig.names(self.rig.caller(packet(syn=True)))
-        actions = self.rig.agent(turned(first[0], packet(syn=True)), packet(syn=True))
+        actions = self.rig.agent(rejected(first[0], packet(syn=True)), packet(syn=True))
         self.assertNotEqual(self.rig.names(actions), first)
         self.assertEqual(len(self.rig.names(actions)), 1)
 
-    def test_turned_away_everywhere(self) -> None:
+    def test_rejected_by_all_targets(self) -> None:
         """A SYN that all targets reject is queued, then placed on a free slot."""
         actions = self.rig.caller(packet(syn=True))
         while self.rig.names(actions):
             name = self.rig.names(actions)[0]
             full = load(number=9, in_flight=3)
-            frame = turned(name, packet(syn=True), load=full)
+            frame = rejected(name, packet(syn=True), load=full)
             actions = self.rig.agent(frame, packet(syn=True))
         self.assertEqual(actions, [])
         freed = LoadUpdate(load=load(number=10, in_flight=1))
         self.assertEqual(self.rig.names(self.rig.agent(freed)), ["maps-2"])
 
-    def test_copy_of_a_waiting_syn(self) -> None:
+    def test_retransmission_of_queued_syn(self) -> None:
         """A retransmission of a queued SYN changes nothing."""
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
@@ -88,7 +88,7 @@
             now = CONVERGED + seconds
             self.assertEqual(self.rig.caller(packet(syn=True), now=now), [])
 
-    def test_route_removed_while_it_waits(self) -> None:
+    def test_route_removed_while_queued(self) -> None:
         """A queued SYN whose route is removed is reset at once."""
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
@@ -99,7 +99,7 @@
         actions = self.rig.steering.retry(now=100.1, draw=self.rig.draw)
         self.assertEqual(resets(actions), ["no route"])
 
-    def test_refused_before_the_caller_gives_up(self) -> None:
+    def test_reset_before_caller_gives_up(self) -> None:
         """A queued SYN that gets no slot is reset before its caller gives up."""
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
@@ -110,7 +110,7 @@
         late = self.rig.steering.retry(now=101.31, draw=self.rig.draw)
         self.assertEqual(resets(late), ["no slot came free"])
 
-    def test_refused_at_once_behind_a_long_queue(self) -> None:
+    def test_rejected_behind_long_queue(self) -> None:
         """A SYN that can't be served in time is reset at once."""
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
@@ -133,7 +133,7 @@
             sent = packet(number, syn=True)
             self.assertEqual(resets(self.rig.caller(sent, now=0.5)), [])
 
-    def test_copy_has_waited_already(self) -> None:
+    def test_wait_counts_from_first_syn(self) -> None:
         """The wait counts from the first SYN, even if another balancer got that."""
         for number in (1, 2, 3):
             self.rig.report(f"maps-{number}", now=CONVERGED, in_flight=3)
@@ -159,21 +159,21 @@
         reasons = resets(self.rig.caller(packet(syn=True)))
         self.assertEqual(reasons, ["no target serves"])
 
-    def test_unanswered_goes_elsewhere_before_the_copy(self) -> None:
+    def test_unanswered_syn_is_hedged(self) -> None:
         """An unanswered SYN is hedged before its caller retransmits it."""
         first = self.rig.names(self.rig.caller(packet(syn=True)))
         actions = self.rig.steering.retry(now=100.1, draw=self.rig.draw)
         self.assertEqual(len(self.rig.names(actions)), 1)
         self.assertNotEqual(self.rig.names(actions), first)
 
-    def test_leaving_targets_get_none(self) -> None:
+    def test_leaving_targets_get_no_flow(self) -> None:
         """Targets that are leaving or have ended get no new flow."""
         self.rig.learn(record("maps-1", host=1, epoch=2, condition=Condition.LEAVING))
         self.rig.learn(record("maps-2", host=2, epoch=2, condition=Condition.GONE))
         for number in range(20):
             names = self.rig.names(self.rig.caller(packet(number, syn=True)))
             self.assertEqual(names, ["maps-3"])
-            self.rig.agent(held("maps-3", packet(number), is_open=False))
+            self.rig.agent(owned("maps-3", packet(number), is_open=False))
 
     def test_no_route(self) -> None:
         """A flow to an address without a route is reset at once."""
@@ -199,14 +199,14 @@
         """All agents of the service are queried; later packets go to the owner."""
         actions = self.rig.caller(packet())
         self.assertEqual(self.rig.names(actions), ["maps-1", "maps-2", "maps-3"])
-        self.rig.agent(held("maps-2", packet()))
+        self.rig.agent(owned("maps-2", packet()))
         self.assertEqual(self.rig.names(self.rig.caller(packet())), ["maps-2"])
 
     def _answers(self, *, held=(), sure: bool = True, name="maps-1", now=CONVERGED):
         frame = OwnershipReply(question=1, agent=name, held=held, is_conclusive=sure)
         return self.rig.agent(frame, now=now)
 
-    def test_question_is_answered_for_many_flows(self) -> None:
+    def test_reply_covers_many_flows(self) -> None:
         """One reply confirms owned flows; the others need replies of all agents."""
         self.rig.caller(packet(1), now=CONVERGED)
         for number in (2, 3):
@@ -224,14 +224,14 @@
             actions = self.rig.agent(none)
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
-    def test_answer_to_the_last_run(self) -> None:
+    def test_reply_to_query_before_restart(self) -> None:
         """A reply to a query from before a restart is ignored."""
         rig = SteeringRig(targets=1, started_at=50.0)
         rig.caller(packet())
         old = OwnershipReply(question=1, agent="maps-1", held=(), is_conclusive=True)
         self.assertEqual(rig.agent(old), [])
 
-    def test_agent_that_cannot_know(self) -> None:
+    def test_inconclusive_agent_is_probed(self) -> None:
         """An agent with an inconclusive reply gets the probe."""
         self.rig.caller(packet(size=10))
         for name in ("maps-2", "maps-3"):
@@ -239,9 +239,9 @@
         actions = self._answers(sure=False)
         self.assertEqual(self.rig.names(actions), ["maps-1"])
         self.assertTrue(actions[0].frame.wants_reply)
-        self.assertEqual(self.rig.agent(held("maps-1", packet())), [])
+        self.assertEqual(self.rig.agent(owned("maps-1", packet())), [])
 
-    def test_tried_once_in_a_while(self) -> None:
+    def test_probe_interval(self) -> None:
         """An agent that is queried again is not probed again at once."""
         self.rig.caller(packet(size=10))
         self.assertEqual(self.rig.names(self._answers(sure=False)), ["maps-1"])
@@ -292,7 +292,7 @@
         for action in collected:
             self.assertLessEqual(len(codec.encode(action.frame)), MAX_FRAME_BYTES)
 
-    def test_smallest_packet_is_tried(self) -> None:
+    def test_smallest_packet_is_probe(self) -> None:
         """The probe is the smallest packet that an owner must answer."""
         for size in (0, 1_000, 10, 900):
             self.rig.caller(packet(size=size))
@@ -307,7 +307,7 @@
         last = self.rig.agent(denied("maps-3", packet()), packet())
         self.assertEqual(resets(last), ["nobody holds the flow"])
 
-    def test_no_reset_while_one_is_silent(self) -> None:
+    def test_no_reset_while_one_does_not_reply(self) -> None:
         """No flow is reset while one agent doesn't reply."""
         for n in range(50):
             now = CONVERGED + n / 10
@@ -362,7 +362,7 @@
         self._deliver_gossip(self._peer(targets=3, started_at=-9.0), now=0.3)
         self.assertEqual(self._deny_all(now=1.2), ["nobody holds the flow"])
 
-    def test_table_of_a_settled_peer_is_fetched_at_once(self) -> None:
+    def test_fetches_table_of_converged_peer(self) -> None:
         """A new balancer fetches a converged peer's table at once."""
         for started_at, fetched in ((0.1, 0), (-9.0, 1)):
             with self.subTest(started_at=started_at):
@@ -416,7 +416,7 @@
         late = self.rig.steering.retry(now=4.2, draw=self.rig.draw)
         self.assertEqual(len(resets(late)), 199)
 
-    def test_agents_that_were_not_sure_at_first(self) -> None:
+    def test_agents_inconclusive_at_first(self) -> None:
         """Reports that all targets have just started end the wait for other agents."""
         self.rig.membership.has_agreed = True
         self.rig.caller(packet(size=10), now=0.1)
@@ -454,7 +454,7 @@
         actions = self.rig.agent(denied("maps-2", packet()), packet(), now=100.51)
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
-    def test_silent_agent_beside_one_that_has_ended(self) -> None:
+    def test_unresponsive_agent_beside_ended_one(self) -> None:
         """The denial of an agent that has ended doesn't stand in for a missing one."""
         self.rig.caller(packet())
         for name in ("maps-1", "maps-3"):
@@ -514,7 +514,7 @@
         rig = SteeringRig(targets=3, started_at=CONVERGED)
         self.assertEqual(self._power_returned(rig, run_ms=30_000), [])
 
-    def test_doubtful_agents_after_loss_of_power(self) -> None:
+    def test_inconclusive_agents_after_power_loss(self) -> None:
         """No probe is sent if all targets have just started."""
         rig = SteeringRig(targets=3, started_at=CONVERGED)
         rig.membership.has_agreed = True
@@ -526,7 +526,7 @@
         self.assertEqual(rig.names(actions), [])
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
-    def test_agent_without_a_target_after_loss_of_power(self) -> None:
+    def test_agent_without_target_after_power_loss(self) -> None:
         """An agent without a target doesn't delay resets after a power loss."""
         rig = SteeringRig(targets=3, started_at=CONVERGED)
         rig.membership.has_agreed = True
@@ -600,7 +600,7 @@
         carried = [a for a in actions if isinstance(a.frame, ForwardPacket)]
         self.assertEqual(carried, [])
 
-    def test_one_doubtful_agent(self) -> None:
+    def test_one_inconclusive_agent(self) -> None:
         """A target that has just started is probed if all other agents deny."""
         rig = SteeringRig(targets=3, started_at=CONVERGED)
         rig.caller(packet(), now=100.4)
@@ -627,7 +627,7 @@
         )
 
     def test_targets_younger_than_the_balancer(self) -> None:
-        """A young target's inconclusive agent is probed, not taken for a denial.
+        """An inconclusive reply about a young target leads to a probe and no denial.
 
         All targets may have been replaced since the balancer started.
         """
@@ -646,7 +646,7 @@
         self.assertEqual(resets(actions), [])
         self.assertEqual(rig.names(actions), ["maps-2"])
 
-    def test_doubtful_while_another_is_silent(self) -> None:
+    def test_inconclusive_while_another_does_not_reply(self) -> None:
         """A probe isn't held back for ever by an agent that doesn't reply."""
         rig = SteeringRig(targets=2, started_at=CONVERGED)
         rig.caller(packet(size=10), now=160.0)
@@ -662,7 +662,7 @@
         )
         self.assertEqual(self._power_returned(rig, run_ms=300), [])
 
-    def test_few_met_targets_prove_nothing(self) -> None:
+    def test_few_new_targets_prove_no_power_loss(self) -> None:
         """A few new targets don't prove a power loss while most are not found yet.
 
         All agents but one were restarted beside running targets; the target that was
@@ -672,11 +672,13 @@
             with self.subTest(places=places):
                 rig = SteeringRig(targets=0, started_at=CONVERGED, data_centres=places)
                 rig.membership.has_agreed = True
-                met = {"maps-1"} if len(places) == 1 else {"maps-1", "maps-2", "maps-3"}
+                found = (
+                    {"maps-1"} if len(places) == 1 else {"maps-1", "maps-2", "maps-3"}
+                )
                 for number in range(1, 5):
                     name = f"maps-{number}"
-                    is_met = name in met
-                    condition = Condition.SERVING if is_met else Condition.STARTING
+                    is_found = name in found
+                    condition = Condition.SERVING if is_found else Condition.STARTING
                     rig.learn(
                         record(
                             name,
@@ -689,21 +691,21 @@
                     )
                 rig.caller(packet(), now=100.4)
                 actions: list = []
-                for name in sorted(met):
+                for name in sorted(found):
                     actions += rig.agent(
                         self._inconclusive_reply(name, run_ms=300), now=100.41
                     )
                 actions += rig.steering.retry(now=100.9, draw=rig.draw)
                 self.assertEqual(resets(actions), [])
 
-    def test_all_are_tried_without_configuration(self) -> None:
+    def test_all_agents_probed_without_configuration(self) -> None:
         """Without a configuration a packet is sent to all agents to find its owner."""
         rig = SteeringRig(version=0, targets=3)
         self.assertEqual(rig.reached(rig.caller(packet())), rig.known_endpoints)
-        rig.agent(held("maps-2", packet()))
+        rig.agent(owned("maps-2", packet()))
         self.assertEqual(rig.names(rig.caller(packet())), ["maps-2"])
 
-    def test_tries_without_configuration_cost_little(self) -> None:
+    def test_probes_without_configuration_are_relayed(self) -> None:
         """Without a configuration probes are relayed, so that few frames are sent."""
         rig = SteeringRig(version=0, targets=77)
         actions = rig.caller(packet(size=1_000))
@@ -712,13 +714,13 @@
 
     def test_denied_by_the_recorded_owner(self) -> None:
         """When the known owner denies a flow, the other agents are queried."""
-        self.rig.agent(held("maps-2", packet()))
+        self.rig.agent(owned("maps-2", packet()))
         actions = self.rig.agent(denied("maps-2", packet()), packet())
         self.assertEqual(self.rig.names(actions), ["maps-1", "maps-3"])
 
     def test_owner_has_ended(self) -> None:
         """A flow whose target has ended is reset at once."""
-        self.rig.agent(held("maps-2", packet()))
+        self.rig.agent(owned("maps-2", packet()))
         self.rig.learn(record("maps-2", host=2, epoch=2, condition=Condition.GONE))
         self.assertEqual(resets(self.rig.caller(packet())), ["target gone"])
 
@@ -733,7 +735,7 @@
         others = sorted({"maps-1", "maps-2", "maps-3"} - set(placed))
         self.assertEqual(self.rig.names(actions), others)
 
-    def test_copy_opened_elsewhere(self) -> None:
+    def test_retransmission_opened_elsewhere(self) -> None:
         """A retransmission placed by another balancer doesn't move an open flow."""
         placed = self.rig.names(self.rig.caller(packet(syn=True)))
         sent = packet(size=10)
@@ -756,6 +758,6 @@
     def test_earlier_target_has_ended(self) -> None:
         """A newer record at an address ends the earlier one's target."""
         rig = SteeringRig(targets=2)
-        rig.agent(held("maps-2", packet()))
+        rig.agent(owned("maps-2", packet()))
         rig.learn(record("logs-9", host=2, epoch=5, service="logs"))
         self.assertEqual(resets(rig.caller(packet())), ["target gone"])
--- a/tests/packets/test_store_return.py
+++ b/tests/packets/test_store_return.py
@@ -7,11 +7,11 @@
 from standins.packets.load import PacketLoad
 
 BALANCERS = ("lb-1", "lb-2", "lb-3")
-RETURNED = ("store_generation", 1)
+RESTORED = ("store_generation", 1)
 REGISTERED = {f"monsoonpier/balancers/{name}" for name in BALANCERS}
 
 
-class DrillTests(unittest.IsolatedAsyncioTestCase):
+class RestoreTests(unittest.IsolatedAsyncioTestCase):
     """Two data centres under load while the store is restored from a backup."""
 
     async def asyncSetUp(self) -> None:
@@ -22,7 +22,7 @@
             deployment.ip(name)
         self.deployment = deployment
         self.store = deployment.store
-        self.copy = self.store.store.backup()  # before any balancer has registered
+        self.backup = self.store.store.backup()  # before any balancer has registered
         await asyncio.gather(
             *(deployment.start_balancer(name) for name in BALANCERS),
             deployment.start_pair("maps-1", "maps"),
@@ -40,14 +40,14 @@
         found = self.store.store.read("", end=b"\xff", now=0.0).values_by_key
         return REGISTERED & set(found)
 
-    async def _come_back(self) -> None:
+    async def _restore_store(self) -> None:
         """Take the store down and restore it from the backup."""
         self.store.faults.is_down = True
         await asyncio.sleep(0.5)
-        self.store.store.restore(self.copy)
+        self.store.store.restore(self.backup)
         self.store.faults.is_down = False
 
-    async def test_drill(self) -> None:
+    async def test_restore_under_load(self) -> None:
         """Registrations return, orders stay in force, no configuration is reverted."""
         load = PacketLoad(deployment=self.deployment, seed=5)
         load.start(readers=6, writers=3, uploaders=1)
@@ -57,7 +57,7 @@
         version = self.deployment.configure()
         self.store.put("op/evacuate/dc-2", b"{}")
         await asyncio.sleep(1.5)
-        await self._come_back()
+        await self._restore_store()
         await asyncio.sleep(2.0)
         self.assertEqual(self._registered(), REGISTERED)
         self.assertEqual(await self._opened(1.0), 0)  # before the order is given again
@@ -70,7 +70,7 @@
         await asyncio.sleep(1.0)
         self.assertEqual(await self._opened(1.0), 0)
         for name in BALANCERS:
-            for metric, value in (("configuration_version", version), RETURNED):
+            for metric, value in (("configuration_version", version), RESTORED):
                 found = await self.deployment.metric(name, f"monsoonpier_{metric}")
                 self.assertEqual(found, value)
         verdict = await load.stop()
--- a/tests/packets/test_verdicts.py
+++ b/tests/packets/test_verdicts.py
@@ -27,7 +27,7 @@
         lost: Share of queries and replies that are lost.
         silent: Names of agents that never reply.
         vacant: How many more agents start without a target and report it.
-        vanished: How many more agents start without a target and end unheard.
+        vanished: How many more agents start without a target and never report it.
     """
 
     def __init__(
@@ -134,10 +134,10 @@
         self._do(self.rig.agent(reply, now=self.now))
 
 
-class VerdictTests(unittest.TestCase):
+class DeadFlowTests(unittest.TestCase):
     """Resets of dead flows after a power loss, and their delays."""
 
-    def test_all_are_told_soon(self) -> None:
+    def test_all_flows_are_reset_soon(self) -> None:
         """All dead flows are reset within a second, though messages are lost."""
         for targets in (109, 300):
             with self.subTest(targets=targets):
@@ -168,7 +168,7 @@
                 self.assertEqual(len(outage.reset_delays), FLOWS)
                 self.assertLess(max(outage.reset_delays), 2.0)
 
-    def test_questions_a_flow(self) -> None:
+    def test_queries_per_flow(self) -> None:
         """Queries are batched: an agent gets fewer than one for two dead flows."""
         outage = Outage(targets=300, lost=0.05, vacant=30)
         outage.play()
--- a/tests/packets/test_wait_statistics.py
+++ b/tests/packets/test_wait_statistics.py
@@ -37,9 +37,9 @@
         self.rig = SteeringRig(targets=1)
         self.rig.report("maps-1", now=CONVERGED, in_flight=9, service_ms=40)
         for number in (1, 2, 3):
-            self.ask(number, now=CONVERGED + number / 10)
+            self.open_flow(number, now=CONVERGED + number / 10)
 
-    def ask(self, number: int, *, now: float) -> list:
+    def open_flow(self, number: int, *, now: float) -> list:
         return self.rig.caller(packet(number, syn=True), now=now)
 
     def summary(self, *, now: float) -> WaitingSummary:
@@ -70,7 +70,7 @@
         self.assertAlmostEqual(found.wait_seconds, 0.15)
         self.assertEqual(found.served_late, 0)
 
-    def test_refused(self) -> None:
+    def test_rejected(self) -> None:
         """Rejected flows are counted by reason, in total and recently."""
         self.rig.steering.retry(now=CONVERGED + 2.0, draw=self.rig.draw)
         found = self.summary(now=CONVERGED + 2.0)
@@ -79,7 +79,7 @@
         self.assertAlmostEqual(found.lately.refused, 3.0)
         self.assertLess(self.summary(now=CONVERGED + 60.0).lately.refused, 0.1)
 
-    def test_copy(self) -> None:
+    def test_retransmission(self) -> None:
         """A retransmission that is not placed is not counted as rejected."""
         copy = replace(packet(4, syn=True), waited=0.2)
         self.rig.caller(copy, now=CONVERGED + 0.4)
