--- a/monsoonpier/balancer/packets/directory.py
+++ b/monsoonpier/balancer/packets/directory.py
@@ -2,7 +2,7 @@
 
 When a balancer joins or leaves, the fabric moves nearly all flows of the data centre
 to other balancers, which must find their owners. Two directory balancers, chosen by
-rendezvous hashing, answer with few bytes; querying all agents would fill the links of
+rendezvous hashing, reply with few bytes; querying all agents would fill the links of
 small entry VMs. If both are lost the agents are queried.
 """
 
--- a/monsoonpier/balancer/packets/first_attempts.py
+++ b/monsoonpier/balancer/packets/first_attempts.py
@@ -47,7 +47,7 @@
         """Store a rejected attempt, or notify the caller's directory balancer.
 
         Args:
-            packet: The rejected SYN, which names the caller and the service's address.
+            packet: The rejected SYN, from the caller to the service's address.
             earlier: The rejected attempt.
             next_attempt_at: When the caller is reset, or gives up by itself.
             now: The current time.
--- a/monsoonpier/balancer/packets/flows.py
+++ b/monsoonpier/balancer/packets/flows.py
@@ -67,7 +67,7 @@
         first_attempt_at: When the caller sent the first SYN of the request, on this
             flow or on an earlier one that was rejected.
         attempts: How many flows the caller has opened for the request.
-        is_attempt_queried: Whether the caller's directory balancer was asked for
+        is_attempt_queried: Whether the caller's directory balancer was queried for
             the first attempt.
         latest_syn_offset: Seconds after the first SYN at which the latest received
             retransmission was sent.
--- a/monsoonpier/balancer/packets/owner_resolver.py
+++ b/monsoonpier/balancer/packets/owner_resolver.py
@@ -120,7 +120,7 @@
     def _services_of(self, entry: FlowEntry) -> frozenset[str]:
         """Return the services whose targets may own a flow that is looked up.
 
-        Not cached in the lookup, since the configuration may change meanwhile.
+        The result is not cached, since the configuration may change during the lookup.
         """
         assert entry.lookup is not None
         return self._context.services_of(entry.lookup.packets[-1], entry)
--- a/monsoonpier/balancer/packets/returning.py
+++ b/monsoonpier/balancer/packets/returning.py
@@ -55,7 +55,7 @@
         """Record a caller whose flow is reset now.
 
         Args:
-            packet: A packet of the flow, which names caller and service address.
+            packet: A packet of the flow, with the caller's and the service's address.
             first_attempt_at: When the caller made its first attempt, as far as known.
             now: The current time.
         """
--- a/monsoonpier/balancer/packets/steering.py
+++ b/monsoonpier/balancer/packets/steering.py
@@ -3,7 +3,7 @@
 A packet identifies its flow by addresses and ports only. The agent beside a target
 sees all of the target's packets, so only it knows which flows the target owns, and
 it delivers packets of no others. A balancer caches owners in a bounded table that
-may be lost at any time. For an unknown flow it asks the flow's directory balancers,
+may be lost at any time. For an unknown flow it queries the flow's directory balancers,
 then all agents of the services of its route. A caller is reset only when every agent
 has denied its flow: an agent that can't be reached may still own it.
 """
--- a/tests/packets/test_first_attempts.py
+++ b/tests/packets/test_first_attempts.py
@@ -22,7 +22,7 @@
 
 FULL = {"in_flight": 2, "queued": 1}
 BACK = CONVERGED + 1.32
-ANSWER = FirstAttemptReply(flow=packet(1).flow, first_attempt_age_ms=2_500)
+REPLY = FirstAttemptReply(flow=packet(1).flow, first_attempt_age_ms=2_500)
 
 
 def syn(number: int, *, caller: int = 7):
@@ -45,7 +45,7 @@
         self.first, self.next, _ = (e for e in rigs if e != self.directory)
         self.rig = rigs[self.first]
 
-    def take(self, endpoint, number: int, *, caller: int = 7, now: float) -> None:
+    def enqueue(self, endpoint, number: int, *, caller: int = 7, now: float) -> None:
         """Queue a SYN at a balancer while no slot is free."""
         rig = self.group.rigs[endpoint]
         for name in ("maps-1", "maps-2", "maps-3"):
@@ -60,11 +60,11 @@
 
     def placed_first(self) -> bytes:
         """Reject a caller; return the SYN placed first at the other balancer."""
-        self.take(self.first, 1, now=CONVERGED)
+        self.enqueue(self.first, 1, now=CONVERGED)
         late = self.retry(self.first, now=CONVERGED + 1.31)
         self.assertEqual(resets(late), ["no slot came free"])
-        self.take(self.next, 2, now=BACK)
-        self.take(self.next, 3, caller=8, now=BACK)
+        self.enqueue(self.next, 2, now=BACK)
+        self.enqueue(self.next, 3, caller=8, now=BACK)
         self.group.rigs[self.next].report("maps-1", now=BACK, in_flight=2)
         (placed,) = self.retry(self.next, now=BACK + 0.01)
         return placed.frame.payload
@@ -82,7 +82,7 @@
         """The first attempt is queried once, and only for queued flows."""
         (placed,) = self.group.rigs[self.next].caller(syn(9))
         self.assertIsInstance(placed.frame, ForwardPacket)
-        self.take(self.first, 1, now=CONVERGED)
+        self.enqueue(self.first, 1, now=CONVERGED)
         self.rig.report("maps-1", now=CONVERGED, in_flight=2)
         (placed,) = self.retry(self.first, now=CONVERGED + 0.01)
         turned = SynRejected(
@@ -96,9 +96,9 @@
 
     def test_wait_is_limited_by_original_timeout(self) -> None:
         """A returning caller's wait is limited by its original timeout."""
-        self.assertEqual(self.rig.agent(ANSWER), [])  # for a flow that is gone
-        self.take(self.first, 1, now=CONVERGED)
-        self.rig.agent(ANSWER)
+        self.assertEqual(self.rig.agent(REPLY), [])  # for a flow that is gone
+        self.enqueue(self.first, 1, now=CONVERGED)
+        self.rig.agent(REPLY)
         late = self.retry(self.first, now=CONVERGED + 0.41)
         self.assertEqual(resets(late), ["no slot came free"])
 
@@ -106,7 +106,7 @@
 class DirectoryBalancerTests(unittest.TestCase):
     """Rejections and queries at a directory balancer, in any order."""
 
-    def answers(self, *rejections: tuple[int, int], questions: int = 3) -> list[int]:
+    def answers(self, *rejections: tuple[int, int], queries: int = 3) -> list[int]:
         balancer = first_attempts(next(iter(_Group(1).rigs.values())))
         caller = {"caller": "100.64.0.7", "service": (SERVICE.ip, SERVICE.port)}
         for first_attempt_age_ms, next_attempt_ms in rejections:
@@ -116,12 +116,12 @@
                 **caller,
             )
             balancer.store_rejection(frame, now=5.0)
-        question = FirstAttemptQuery(flow=syn(2).flow, **caller)
+        query = FirstAttemptQuery(flow=syn(2).flow, **caller)
         sender = ("10.1.0.2", 7720)
         return [
             reply.frame.first_attempt_age_ms
-            for _ in range(questions)
-            for reply in balancer.reply(question, sender=sender, now=5.1)
+            for _ in range(queries)
+            for reply in balancer.reply(query, sender=sender, now=5.1)
         ]
 
     def test_each_rejection_counts_once(self) -> None:
@@ -146,7 +146,7 @@
     def test_bounded(self) -> None:
         """Rejections of one address are bounded."""
         most = MAX_REJECTIONS + 5
-        found = self.answers(*[(1_000, 0)] * most, questions=most)
+        found = self.answers(*[(1_000, 0)] * most, queries=most)
         self.assertEqual(len(found), MAX_REJECTIONS)
 
 
--- a/tests/packets/test_shares.py
+++ b/tests/packets/test_shares.py
@@ -139,7 +139,7 @@
                 rig.learn(record(f"logs-{number}", host=number, epoch=2, **leaving))
             self.assertEqual(self.services(rig, now=now), expected)
 
-    def asked(self, actions: list) -> set[tuple[str, str]]:
+    def queried(self, actions: list) -> set[tuple[str, str]]:
         """Return which agents are queried, with the service named in the query."""
         names_by_endpoint = {(f"10.2.0.{n}", 7720): n for n in range(1, 9)}
         return {
@@ -154,7 +154,7 @@
         every = {(1, "maps"), (2, "maps"), (3, "logs"), (4, "logs")}
         for flow, owner in ((1, None), (2, "logs-3")):
             now = CONVERGED + flow
-            self.assertEqual(self.asked(rig.caller(packet(flow), now=now)), every)
+            self.assertEqual(self.queried(rig.caller(packet(flow), now=now)), every)
             actions: list = []
             for name in ("maps-1", "maps-2", "logs-3", "logs-4"):
                 self.assertEqual(resets(actions), [])
@@ -171,20 +171,20 @@
         """A probe names the service of each agent that it goes to."""
         rig = self.rig()
         rig.caller(packet(size=9))
-        questions = rig.steering._resolver._queries._flows_by_query
+        queries = rig.steering._resolver._queries._flows_by_query
         actions: list = []
         for number, name in itertools.product(
-            questions, ("maps-1", "maps-2", "logs-3", "logs-4")
+            queries, ("maps-1", "maps-2", "logs-3", "logs-4")
         ):
             reply = OwnershipReply(
                 question=number, agent=name, held=(), is_conclusive=False
             )
             actions += rig.agent(reply)
         actions += rig.steering.retry(now=CONVERGED + 0.02, draw=rig.draw)
-        brought = {(a.endpoint[0], a.frame.service) for a in actions}
+        probed = {(a.endpoint[0], a.frame.service) for a in actions}
         self.assertEqual({type(a.frame) for a in actions}, {ForwardPacket, RelayPacket})
         expected = {("10.2.0.1", "maps"), ("10.2.0.2", "maps"), ("10.2.0.3", "logs")}
-        self.assertLessEqual(brought, expected | {("10.2.0.4", "logs")})
+        self.assertLessEqual(probed, expected | {("10.2.0.4", "logs")})
 
     def test_route_that_moves_on(self) -> None:
         """Open flows keep their owner when the route changes to another service."""
@@ -196,7 +196,7 @@
         self.assertEqual(rig.names(rig.caller(packet())), [name])
         new = rig.caller(packet(7, syn=True))
         self.assertEqual([a.frame.service for a in new], ["logs"])
-        self.assertEqual(len(self.asked(rig.caller(packet(8)))), 4)
+        self.assertEqual(len(self.queried(rig.caller(packet(8)))), 4)
 
 
 class DocumentTests(unittest.TestCase):
@@ -217,8 +217,8 @@
 
     def test_no_usable_weight(self) -> None:
         """Without a valid weight services share equally; zeros are kept."""
-        for weight, expected, told in (("x", 1, 2), (0, 0, 1), (True, 1, 2)):
+        for weight, expected, finding_count in (("x", 1, 2), (0, 0, 1), (True, 1, 2)):
             shares = [{"service": name, "weight": weight} for name in "ab"]
             found = read_shares(shares, route="r", service="", declared=())
             self.assertEqual(found.weights_by_service, {"a": expected, "b": expected})
-            self.assertEqual(len(found.findings), told)
+            self.assertEqual(len(found.findings), finding_count)
--- a/tests/packets/test_steering.py
+++ b/tests/packets/test_steering.py
@@ -212,9 +212,11 @@
         for number in (2, 3):
             self.assertEqual(self.rig.caller(packet(number), now=100.001), [])
         actions = self.rig.steering.retry(now=100.03, draw=self.rig.draw)
-        asked = [a.frame.flows for a in actions if isinstance(a.frame, OwnershipQuery)]
+        queried = [
+            a.frame.flows for a in actions if isinstance(a.frame, OwnershipQuery)
+        ]
         flows = (packet(2).flow, packet(3).flow)
-        self.assertEqual(asked, [flows] * 3)
+        self.assertEqual(queried, [flows] * 3)
         held = OwnershipReply(
             question=2, agent="maps-1", held=flows[:1], is_conclusive=True
         )
@@ -410,9 +412,9 @@
         context = self.rig.steering._context
         with mock.patch.object(
             context, "knows_all_owners_of", wraps=context.knows_all_owners_of
-        ) as asked:
+        ) as check:
             self.rig.steering.retry(now=1.0, draw=self.rig.draw)
-        self.assertLessEqual(asked.call_count, 2)
+        self.assertLessEqual(check.call_count, 2)
         late = self.rig.steering.retry(now=4.2, draw=self.rig.draw)
         self.assertEqual(len(resets(late)), 199)
 
@@ -436,21 +438,21 @@
 
     def _queries_in(self, rig: SteeringRig, *, since: float, until: float) -> list:
         """Return which agents the balancer queries by itself, and when."""
-        asked = []
+        queried = []
         for step in range(round((until - since) * 100)):
             now = since + step / 100
             actions = rig.steering.retry(now=now, draw=rig.draw)
             frames = [a for a in actions if isinstance(a.frame, OwnershipQuery)]
-            asked += [(round(now, 2), name) for name in rig.names(frames)]
-        return asked
+            queried += [(round(now, 2), name) for name in rig.names(frames)]
+        return queried
 
     def test_lost_answer_is_asked_for_again(self) -> None:
         """An agent that hasn't replied is queried again without a caller's packet."""
         self.rig.caller(packet())
         for name in ("maps-1", "maps-3"):
             self.rig.agent(denied(name, packet()), packet())
-        asked = self._queries_in(self.rig, since=CONVERGED, until=CONVERGED + 0.25)
-        self.assertEqual([name for _, name in asked], ["maps-2"])
+        queried = self._queries_in(self.rig, since=CONVERGED, until=CONVERGED + 0.25)
+        self.assertEqual([name for _, name in queried], ["maps-2"])
         actions = self.rig.agent(denied("maps-2", packet()), packet(), now=100.51)
         self.assertEqual(resets(actions), ["nobody holds the flow"])
 
@@ -473,8 +475,8 @@
                 self.rig.learn(record("maps-4", host=4))
             actions = self.rig.agent(denied(name, packet()), packet())
             self.assertEqual(resets(actions), [])
-        asked = self._queries_in(self.rig, since=CONVERGED, until=CONVERGED + 0.25)
-        self.assertEqual([name for _, name in asked], ["maps-4"])
+        queried = self._queries_in(self.rig, since=CONVERGED, until=CONVERGED + 0.25)
+        self.assertEqual([name for _, name in queried], ["maps-4"])
 
     def test_silent_agent_is_asked_a_few_times(self) -> None:
         """An agent that doesn't reply is queried a few times; its flow is not reset."""
@@ -482,9 +484,9 @@
         actions = []
         for name in ("maps-1", "maps-3"):
             actions += self.rig.agent(denied(name, packet()), packet())
-        asked = self._queries_in(self.rig, since=CONVERGED, until=CONVERGED + 30)
-        self.assertEqual({name for _, name in asked}, {"maps-2"})
-        self.assertEqual(len(asked), 5)
+        queried = self._queries_in(self.rig, since=CONVERGED, until=CONVERGED + 30)
+        self.assertEqual({name for _, name in queried}, {"maps-2"})
+        self.assertEqual(len(queried), 5)
         self.assertFalse(self.rig.steering.is_waiting)
         self.assertEqual(resets(actions), [])
 
