--- a/tests/packets/test_shares.py
+++ b/tests/packets/test_shares.py
@@ -38,7 +38,7 @@
     )
 
 
-def held(agent: str, sent: Packet) -> FlowOwned:
+def owned(agent: str, sent: Packet) -> FlowOwned:
     return FlowOwned(flow=sent.flow, agent=agent, load=load(number=9), is_open=True)
 
 
@@ -130,7 +130,7 @@
         self.assertEqual(opened, undisturbed.steering.opened_by_service)
 
     def test_service_whose_targets_leave(self) -> None:
-        """Its share goes to the others, but only once all targets are known."""
+        """A leaving service's share goes to the others, once all targets are known."""
         undisturbed = self.services(self.rig())
         for now, expected in ((CONVERGED, ["maps"] * 40), (0.5, undisturbed)):
             rig = self.rig()
@@ -139,7 +139,7 @@
                 rig.learn(record(f"logs-{number}", host=number, epoch=2, **leaving))
             self.assertEqual(self.services(rig, now=now), expected)
 
-    def asked(self, actions: list) -> set[tuple[str, str]]:
+    def queried(self, actions: list) -> set[tuple[str, str]]:
         """Return which agents are queried, with the service named in the query."""
         names_by_endpoint = {(f"10.2.0.{n}", 7720): n for n in range(1, 9)}
         return {
@@ -148,20 +148,20 @@
             if isinstance(a.frame, OwnershipQuery)
         }
 
-    def test_restarted_balancer_asks_all_services(self) -> None:
+    def test_restarted_balancer_queries_all_services(self) -> None:
         """A flow is reset once agents of all services of its route have denied it."""
         rig = self.rig()
         every = {(1, "maps"), (2, "maps"), (3, "logs"), (4, "logs")}
         for flow, owner in ((1, None), (2, "logs-3")):
             now = CONVERGED + flow
-            self.assertEqual(self.asked(rig.caller(packet(flow), now=now)), every)
+            self.assertEqual(self.queried(rig.caller(packet(flow), now=now)), every)
             actions: list = []
             for name in ("maps-1", "maps-2", "logs-3", "logs-4"):
                 self.assertEqual(resets(actions), [])
                 sent = packet(flow)
                 frame = FlowNotOwned(agent=name, flow=sent.flow, payload=sent.raw)
                 if name == owner:
-                    frame = held(name, sent)
+                    frame = owned(name, sent)
                 actions = rig.agent(frame, sent, now=now)
             self.assertEqual(len(resets(actions)), owner is None)
         carried = rig.caller(packet(2), now=103.0)
@@ -171,32 +171,32 @@
         """A probe names the service of each agent that it goes to."""
         rig = self.rig()
         rig.caller(packet(size=9))
-        questions = rig.steering._resolver._queries._flows_by_query
+        queries = rig.steering._resolver._queries._flows_by_query
         actions: list = []
         for number, name in itertools.product(
-            questions, ("maps-1", "maps-2", "logs-3", "logs-4")
+            queries, ("maps-1", "maps-2", "logs-3", "logs-4")
         ):
             reply = OwnershipReply(
                 question=number, agent=name, held=(), is_conclusive=False
             )
             actions += rig.agent(reply)
         actions += rig.steering.retry(now=CONVERGED + 0.02, draw=rig.draw)
-        brought = {(a.endpoint[0], a.frame.service) for a in actions}
+        probed = {(a.endpoint[0], a.frame.service) for a in actions}
         self.assertEqual({type(a.frame) for a in actions}, {ForwardPacket, RelayPacket})
         expected = {("10.2.0.1", "maps"), ("10.2.0.2", "maps"), ("10.2.0.3", "logs")}
-        self.assertLessEqual(brought, expected | {("10.2.0.4", "logs")})
+        self.assertLessEqual(probed, expected | {("10.2.0.4", "logs")})
 
     def test_route_that_moves_on(self) -> None:
         """Open flows keep their owner when the route changes to another service."""
         rig = self.rig(maps=1)
         placed = rig.caller(packet(syn=True))
         (name,) = rig.names(placed)
-        rig.agent(held(name, packet()))
+        rig.agent(owned(name, packet()))
         self.configure(rig, shared(logs=1))
         self.assertEqual(rig.names(rig.caller(packet())), [name])
         new = rig.caller(packet(7, syn=True))
         self.assertEqual([a.frame.service for a in new], ["logs"])
-        self.assertEqual(len(self.asked(rig.caller(packet(8)))), 4)
+        self.assertEqual(len(self.queried(rig.caller(packet(8)))), 4)
 
 
 class DocumentTests(unittest.TestCase):
@@ -217,8 +217,8 @@
 
     def test_no_usable_weight(self) -> None:
         """Without a valid weight services share equally; zeros are kept."""
-        for weight, expected, told in (("x", 1, 2), (0, 0, 1), (True, 1, 2)):
+        for weight, expected, finding_count in (("x", 1, 2), (0, 0, 1), (True, 1, 2)):
             shares = [{"service": name, "weight": weight} for name in "ab"]
             found = read_shares(shares, route="r", service="", declared=())
             self.assertEqual(found.weights_by_service, {"a": expected, "b": expected})
-            self.assertEqual(len(found.findings), told)
+            self.assertEqual(len(found.findings), finding_count)
