--- a/monsoonpier/balancer/actions.py
+++ b/monsoonpier/balancer/actions.py
@@ -26,12 +26,18 @@
 
 
 class FetchConfiguration(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """Fetch the configuration from a peer that has a newer one."""
+    """Fetch the configuration from a peer that has a newer one.
+
+    ``control`` is the address of the peer's control server.
+    """
 
     control: str
 
 
 class FetchTable(msgspec.Struct, frozen=True, kw_only=True, gc=False):
-    """Fetch the differing target records from a peer."""
+    """Fetch a peer's target records from the buckets whose digests differ.
+
+    ``control`` is the address of the peer's control server.
+    """
 
     control: str
--- a/monsoonpier/balancer/contact.py
+++ b/monsoonpier/balancer/contact.py
@@ -15,22 +15,24 @@
 # Without peers there are only the agents' heartbeats, one a second: one may be lost
 # and the next one late.
 ALONE_SILENT_SECONDS = 3.0
-# Hold-down: contact that was lost again soon is trusted later each time, so that an
-# unstable link doesn't move callers back and forth.
+# Hold-down: after each loss of a short contact the balancer waits longer before it is
+# ready again, so that an unstable link doesn't move callers back and forth.
 FIRST_HOLD_SECONDS = 1.0
 MAX_HOLD_SECONDS = 8.0
 STABLE_SECONDS = 15.0  # contact of this length resets the hold-down
 
 
 class ContactMonitor:
-    """Decides from the times of received frames whether to be ready. Does no I/O.
+    """Decides whether a balancer is in contact with other processes. Does no I/O.
+
+    A balancer that isn't must not be ready.
 
     Args:
         now: When the balancer started.
     """
 
     def __init__(self, *, now: float) -> None:
-        self._heard_at = now
+        self._last_frame_at = now
         self._since = now  # start of the current contact
         self._hold_seconds = 0.0
 
@@ -38,10 +40,10 @@
         """Record a frame from any other process."""
         if self._is_silent(has_peers=has_peers, now=now):
             self._restart_contact(now=now)
-        self._heard_at = now
+        self._last_frame_at = now
 
     def _restart_contact(self, *, now: float) -> None:
-        lasted = self._heard_at - self._since
+        lasted = self._last_frame_at - self._since
         self._since = now
         if lasted >= STABLE_SECONDS:
             self._hold_seconds = 0.0
@@ -50,15 +52,15 @@
             self._hold_seconds = min(MAX_HOLD_SECONDS, doubled)
 
     def is_in_contact(self, *, has_peers: bool, now: float) -> bool:
-        """Return whether contact exists and its hold-down is over."""
+        """Return whether frames arrive and the hold-down is over."""
         if self._is_silent(has_peers=has_peers, now=now):
             return False
         return now - self._since >= self._hold_seconds
 
     def should_probe(self, *, now: float) -> bool:
-        """Return whether peers should be probed, outside the usual gossip rounds."""
-        return now - self._heard_at >= PROBE_AFTER_SECONDS
+        """Return whether peers should be probed, since no frame has arrived lately."""
+        return now - self._last_frame_at >= PROBE_AFTER_SECONDS
 
     def _is_silent(self, *, has_peers: bool, now: float) -> bool:
         limit = SILENT_SECONDS if has_peers else ALONE_SILENT_SECONDS
-        return now - self._heard_at > limit
+        return now - self._last_frame_at > limit
--- a/monsoonpier/balancer/membership.py
+++ b/monsoonpier/balancer/membership.py
@@ -20,12 +20,12 @@
 
 __all__ = ["ALONE_SECONDS", "Membership"]
 
-# Seconds since its start before a balancer assumes that it knows all targets: the
-# first if its table agrees with that of a peer which has converged, else the second,
-# which leaves agents the time to announce themselves.
+# A balancer assumes that it knows all targets AGREED_SECONDS after its start if its
+# table equals that of a peer which has converged. Otherwise it waits ALONE_SECONDS,
+# which gives agents the time to announce themselves.
 AGREED_SECONDS = 1.0
 ALONE_SECONDS = 4.0
-NAMED_BALANCERS = 6  # named to an agent, which heartbeats to the first few it reaches
+NAMED_BALANCERS = 6  # an agent sends heartbeats to the first few that it reaches
 
 
 class Membership:
@@ -37,17 +37,17 @@
         peers: The known balancers.
         table: The known targets.
         configuration: The configuration in force.
-        has_updates: An update should be gossiped at once.
-        has_agreed: The table of a peer that has converged was equal to this one.
-        has_agreed_with_any: The table of any peer was. This is weaker evidence:
-            balancers that have just started may know the same few targets.
+        has_updates: Whether an update should be gossiped at once.
+        has_agreed: Whether a peer that has converged had an equal table.
+        has_agreed_with_any: Whether any peer had an equal table. This is weaker
+            evidence: balancers that have just started may know the same few targets.
         evacuations: The last known evacuation orders.
         store_generation: The newest known generation of the store.
         started_at: When this balancer started, by its monotonic clock.
 
     Args:
         own: This balancer's own record.
-        started_at: As above; the default means long ago.
+        started_at: As above. With the default the balancer counts as converged.
     """
 
     def __init__(self, *, own: BalancerRecord, started_at: float = 0.0) -> None:
@@ -161,7 +161,9 @@
                 self._queue_update(silence)
         actions: list = []
         if not frame.is_answer:
-            actions.append(self._answer(frame, sender=sender, now=now, draw=draw))
+            actions.append(
+                self._answer_gossip(frame, sender=sender, now=now, draw=draw)
+            )
         if frame.version > self.configuration.version:
             actions.append(FetchConfiguration(control=frame.sender.control))
         if self._should_fetch_table(frame, now=now):
@@ -218,7 +220,7 @@
         self.peers.queue_update(item)
         self.has_updates = True
 
-    def _answer(
+    def _answer_gossip(
         self,
         frame: Gossip,
         *,
@@ -267,7 +269,7 @@
     # Configuration
 
     def configure(self, configuration: Configuration) -> bool:
-        """Put a configuration in force if it is newer; return whether it was."""
+        """Apply a configuration if it is newer; return whether it was."""
         if configuration.version <= self.configuration.version:
             return False
         self.configuration = configuration
@@ -275,7 +277,7 @@
         return True
 
     def evacuate(self, evacuations: Evacuations) -> None:
-        """Put evacuation orders in force, and gossip at once if any changed."""
+        """Apply evacuation orders, and gossip at once if any changed."""
         if evacuations.known != self.evacuations.known:
             self.table.evacuated = evacuations.active
             self.has_updates = True
@@ -289,8 +291,9 @@
     def evacuation_acks(self, order: Evacuation, *, now: float) -> list[ToAgent]:
         """Return messages that inform the affected agents of an order at once.
 
-        They go to agents in the order's data centre that send heartbeats to this
-        balancer. Otherwise these would learn of it with their next heartbeat.
+        The affected agents are those in the order's data centre that send heartbeats
+        to this balancer. Without the message they would learn of the order from the
+        answer to their next heartbeat.
         """
         return [
             self._ack(
--- a/monsoonpier/balancer/node.py
+++ b/monsoonpier/balancer/node.py
@@ -15,7 +15,7 @@
 from monsoonpier.balancer.stored_configuration import (
     STORED_FORMAT,
     ConfigurationFormat,
-    StoredConfiguration,
+    CurrentConfiguration,
 )
 from monsoonpier.link.sender import LinkSender
 from monsoonpier.model.evacuation import Evacuation, Evacuations
@@ -85,7 +85,7 @@
         life: The lifecycle of the process.
         sender: The outgoing link that all sockets of the process share.
         store: Holds the configuration and the registered balancers.
-        take_frame: Called with each frame that isn't one of membership.
+        take_frame: Called with each frame that isn't part of the membership protocol.
         on_configured: Called after a newer configuration is in force.
         draw: Random numbers for jitter and for choosing peers.
         configuration_format: Decodes and compresses the stored configuration.
@@ -114,7 +114,7 @@
         self._take_frame = take_frame
         self._read_waiting = read_waiting
         self._draw = draw
-        self._configuration = StoredConfiguration(
+        self._configuration = CurrentConfiguration(
             membership=membership,
             configuration_format=configuration_format,
             on_configured=on_configured,
@@ -127,13 +127,13 @@
             codec=self._codec,
             copies=ConfigurationCopies(store=store, keys=settings.keys),
             configuration=self._configuration,
-            evacuate=self._take_evacuation,
+            evacuate=self._apply_evacuations,
             draw=draw,
             generation=membership.store_generation,
-            on_restored=self._take_store_restored,
+            on_restored=self._on_store_restored,
         )
         self._control = ControlServer(
-            address=settings.control, keys=settings.keys, handler=self._answer
+            address=settings.control, keys=settings.keys, handler=self._handle_request
         )
         self._socket: UdpSocket | None = None
         self._fetches_by_action: dict[type, asyncio.Task] = {}
@@ -149,7 +149,7 @@
         return (
             self._control.run,
             self._gossip_forever,
-            self._keep_contact_forever,
+            self._monitor_contact_forever,
             self._link.run,
         )
 
@@ -219,7 +219,7 @@
         if is_control:
             self._bytes_by_direction["out"] += size
 
-    def do(self, action) -> None:
+    def execute(self, action) -> None:
         """Carry out an action of the membership."""
         match action:
             case ToAgent(endpoint=endpoint, frame=frame):
@@ -243,7 +243,7 @@
         actions = self._membership.from_process(
             frame, sender=sender, now=now, draw=self._draw
         )
-        self._note_evacuations(before, learned_from=sender[0])
+        self._report_evacuations(before, learned_from=sender[0])
         if generation.restores > restores:
             self._link.store_restored()
             self._log_restored(old_generation, learned_from=sender[0])
@@ -252,11 +252,11 @@
             return
         self._bytes_by_direction["in"] += len(data)
         for action in actions:
-            self.do(action)
+            self.execute(action)
 
     # Evacuations
 
-    def _take_evacuation(self, update: Evacuation | EvacuationsRead) -> None:
+    def _apply_evacuations(self, update: Evacuation | EvacuationsRead) -> None:
         before = self._membership.evacuations
         match update:
             case Evacuation():
@@ -268,9 +268,9 @@
                     is_conclusive=update.is_conclusive,
                 )
         self._membership.evacuate(after)
-        self._note_evacuations(before, learned_from="store")
+        self._report_evacuations(before, learned_from="store")
 
-    def _note_evacuations(self, before: Evacuations, *, learned_from: str) -> None:
+    def _report_evacuations(self, before: Evacuations, *, learned_from: str) -> None:
         """Log changed evacuation orders and inform the affected agents."""
         known = self._membership.evacuations.known
         for order in known:
@@ -284,11 +284,11 @@
                 learned_from=learned_from,
             )
             for action in self._membership.evacuation_acks(order, now=_now()):
-                self.do(action)
+                self.execute(action)
 
     # Restore of the store from a backup
 
-    def _take_store_restored(self, old_generation: int, revision: Revision) -> None:
+    def _on_store_restored(self, old_generation: int, revision: Revision) -> None:
         self._membership.has_updates = True
         self._log_restored(
             old_generation, learned_from="store", revision=revision.number
@@ -333,12 +333,12 @@
     def _send_round(self, *, eager: bool) -> None:
         membership = self._membership
         for action in membership.gossip_round(now=_now(), draw=self._draw, eager=eager):
-            self.do(action)
+            self.execute(action)
         if not len(membership.table):
             self._send_join()
 
     def _send_join(self) -> None:
-        """Send gossip to the seeds and some peers, while no target is known.
+        """Send gossip to the seeds and some peers, to learn of the first targets.
 
         The seeds alone are not enough, since they may be the last to start.
         """
@@ -350,9 +350,11 @@
             self._gossip_to(endpoint)
 
     def _gossip_to(self, endpoint: tuple[str, int]) -> None:
-        self.do(self._membership.extra_gossip(endpoint, now=_now(), draw=self._draw))
+        self.execute(
+            self._membership.extra_gossip(endpoint, now=_now(), draw=self._draw)
+        )
 
-    async def _keep_contact_forever(self) -> None:
+    async def _monitor_contact_forever(self) -> None:
         """Probe peers when no frames arrive, and log lost and regained contact."""
         while True:
             await asyncio.sleep(CONTACT_CHECK_SECONDS)
@@ -393,7 +395,7 @@
             return
         match reply:
             case ConfigurationReply(packed=packed) if packed:
-                self._configuration.take_packed(packed)
+                self._configuration.apply_packed(packed)
             case TableReply(records=records, balancers=balancers):
                 for record in records:
                     membership.table.learn(record, now=_now())
@@ -402,7 +404,7 @@
 
     # Control requests
 
-    async def _answer(self, message):
+    async def _handle_request(self, message):
         membership = self._membership
         match message:
             case ConfigurationRequest(newer_than=version, service=service):
--- a/monsoonpier/balancer/peers.py
+++ b/monsoonpier/balancer/peers.py
@@ -27,9 +27,9 @@
 EXTRA_ROUNDS = 3  # rounds that carry an update, beyond log2 of the number of peers
 MAX_UPDATES = 4_096
 INTRODUCED_PEERS = 1  # other balancers named in each gossip datagram
-# Balancers that watch the platform, over all data centres. Three let one be down and
-# another wait for a lost answer. Each data centre has at least one, so that it learns
-# of changes while it is cut off from the others.
+# Balancers that watch the platform, over all data centres. Of three, one may be down
+# and another may wait for a lost answer. Each data centre has at least one, so that
+# it learns of changes while it is cut off from the others.
 MIN_WATCHERS = 3
 MOST_WATCHERS_PER_DATA_CENTRE = 2
 
@@ -37,14 +37,14 @@
 @dataclass(slots=True, kw_only=True)
 class _Peer:
     record: BalancerRecord
-    unanswered: int = 0
+    unanswered: int = 0  # gossip rounds since its last message
     excluded_until: float = 0.0
 
 
 @dataclass(slots=True, kw_only=True)
 class _Update:
     item: TargetRecord | SilenceReport
-    rounds: int  # left to be sent in
+    rounds: int  # messages that still have to carry it
 
 
 class Peers:
@@ -62,7 +62,7 @@
         return self._own
 
     def leave(self) -> None:
-        """Mark the own record as leaving."""
+        """Mark this balancer's own record as leaving."""
         self._own = msgspec.structs.replace(
             self._own, epoch=self._own.epoch + 1, leaving=True
         )
@@ -76,7 +76,7 @@
 
     @property
     def near_by_name(self) -> dict[str, BalancerRecord]:
-        """The records of this data centre, with this balancer even if it leaves."""
+        """The records of this data centre, always including this balancer's own."""
         records = self.records_by_name | {self._own.name: self._own}
         data_centre = self._own.data_centre
         return {n: r for n, r in records.items() if r.data_centre == data_centre}
@@ -104,9 +104,9 @@
             self._own = msgspec.structs.replace(self._own, epoch=known.epoch + 1)
 
     def check_epoch(self, record: BalancerRecord) -> None:
-        """Include the known record of a peer in the next message if it is newer.
+        """Include a peer's known record in the next message if its epoch is larger.
 
-        The peer then raises its epoch above that record's.
+        The peer then raises its own epoch above that one.
         """
         peer = self._peers_by_name.get(record.name)
         is_outdated = peer is not None and peer.record.epoch > record.epoch
@@ -170,8 +170,8 @@
         draw: random.Random,
     ) -> Gossip:
         """Return a message with the queued updates."""
-        records, silences = self._take_updates()
-        return self._message(
+        records, silences = self._dequeue_updates()
+        return self._build_message(
             version=version,
             digest=digest,
             records=records,
@@ -194,7 +194,7 @@
         draw: random.Random,
     ) -> Gossip:
         """Return an answer for a peer whose table is equal."""
-        return self._message(
+        return self._build_message(
             version=version,
             digest=digest,
             records=(),
@@ -206,9 +206,10 @@
             draw=draw,
         )
 
-    def _take_updates(
+    def _dequeue_updates(
         self,
     ) -> tuple[tuple[TargetRecord, ...], tuple[SilenceReport, ...]]:
+        """Return the updates for one message; remove those sent often enough."""
         records: list[TargetRecord] = []
         silences: list[SilenceReport] = []
         for update in self._updates:
@@ -224,7 +225,8 @@
             self._updates.popleft()
         return tuple(records), tuple(silences)
 
-    def _message(self, *, draw: random.Random, **content) -> Gossip:
+    def _build_message(self, *, draw: random.Random, **content) -> Gossip:
+        """Return a message with ``content`` and the records of some peers."""
         known = list(self._peers_by_name.values())
         introduced = draw.sample(known, min(INTRODUCED_PEERS, len(known)))
         records = [peer.record for peer in introduced]
@@ -234,11 +236,11 @@
         return Gossip(sender=self._own, balancers=tuple(records), **content)
 
     def is_copy_writer(self, *, now: float) -> bool:
-        """Return whether this balancer writes the compact copy to the store."""
-        responsive = self._responsive(now=now)
-        return self._own.name in top("configuration copy", responsive, count=1)
+        """Return whether this balancer writes the configuration copy to the store."""
+        data_centres = self._data_centres_by_name(now=now)
+        return self._own.name in top("configuration copy", data_centres, count=1)
 
-    def _responsive(self, *, now: float) -> dict[str, str]:
+    def _data_centres_by_name(self, *, now: float) -> dict[str, str]:
         """Return the data centres of the balancers that aren't excluded, by name."""
         return {
             name: record.data_centre
@@ -248,11 +250,13 @@
 
     def is_watcher(self, *, now: float) -> bool:
         """Return whether this balancer is one of the few that watch the platform."""
-        responsive = self._responsive(now=now)
+        data_centres = self._data_centres_by_name(now=now)
         own = self._own.data_centre
-        names = [name for name, data_centre in responsive.items() if data_centre == own]
-        share = math.ceil(MIN_WATCHERS / len({own, *responsive.values()}))
-        count = min(share, MOST_WATCHERS_PER_DATA_CENTRE)
+        names = [
+            name for name, data_centre in data_centres.items() if data_centre == own
+        ]
+        per_data_centre = math.ceil(MIN_WATCHERS / len({own, *data_centres.values()}))
+        count = min(per_data_centre, MOST_WATCHERS_PER_DATA_CENTRE)
         chosen = top("platform watch", names, count=count)
         return self._own.name in chosen
 
--- a/monsoonpier/balancer/registration.py
+++ b/monsoonpier/balancer/registration.py
@@ -94,7 +94,7 @@
                 backoff = backoff.after_failure()
 
     async def _pause(self, seconds: float) -> None:
-        """Wait for the next call, shorter if the store is restored meanwhile."""
+        """Wait until the next attempt, less long if the store is restored meanwhile."""
         try:
             await asyncio.wait_for(self._restored.wait(), seconds)
         except TimeoutError:
--- a/monsoonpier/balancer/store_generation.py
+++ b/monsoonpier/balancer/store_generation.py
@@ -6,11 +6,11 @@
 
 from monsoonpier.model.revision import MAX_GENERATION
 
-__all__ = ["RESTATE_SECONDS", "StoreGeneration"]
+__all__ = ["RESTORE_GRACE_SECONDS", "StoreGeneration"]
 
 # After a restore, operators write the lost evacuation orders again. Before this
 # time has passed, an order that is missing in the store may still be valid.
-RESTATE_SECONDS = 5.0
+RESTORE_GRACE_SECONDS = 5.0
 
 
 class StoreGeneration:
@@ -47,8 +47,8 @@
         self.restores_by_source[source] = self.restores_by_source.get(source, 0) + 1
         return True
 
-    def has_restate_time_passed(self, *, now: float) -> bool:
-        """Return whether lost orders would have been written again by now."""
+    def is_restore_grace_over(self, *, now: float) -> bool:
+        """Return whether operators have had the time to write lost orders again."""
         if self.number == 0 or self._known_since is None:
             return True
-        return now - self._known_since >= RESTATE_SECONDS
+        return now - self._known_since >= RESTORE_GRACE_SECONDS
--- a/monsoonpier/balancer/store_link.py
+++ b/monsoonpier/balancer/store_link.py
@@ -16,7 +16,7 @@
 from monsoonpier.balancer.peers import Peers
 from monsoonpier.balancer.registration import Registration
 from monsoonpier.balancer.store_generation import StoreGeneration
-from monsoonpier.balancer.stored_configuration import StoredConfiguration
+from monsoonpier.balancer.stored_configuration import CurrentConfiguration
 from monsoonpier.model.evacuation import Evacuation, evacuation
 from monsoonpier.model.revision import Revision
 from monsoonpier.process.registry import registered_balancers
@@ -80,7 +80,7 @@
             after each read.
         draw: Random numbers for jitter.
         clock: The monotonic clock.
-        generation: The newest known generation of the store, also from gossip.
+        generation: The newest known generation of the store; gossip updates it too.
         on_restored: Called with the previous generation and the revision of the
             answer when an answer of the store reveals a restore.
     """
@@ -92,7 +92,7 @@
         peers: Peers,
         codec: FrameCodec,
         copies: ConfigurationCopies,
-        configuration: StoredConfiguration,
+        configuration: CurrentConfiguration,
         evacuate: Callable[[Evacuation | EvacuationsRead], None],
         draw: random.Random,
         clock: Callable[[], float] = time.monotonic,
@@ -130,7 +130,7 @@
         )
 
     def store_restored(self) -> None:
-        """Write again what a restored store has lost."""
+        """Register again, and assume that the configuration copy is lost."""
         self._copies.assume_lost()
         self.registration.store_restored()
 
@@ -158,7 +158,7 @@
                 self._watching.cancel()
 
     async def _load_copy(self) -> None:
-        """Put the configuration copy in force, if there is one.
+        """Apply the configuration copy, if there is one.
 
         The copy may be outdated; a newer configuration then follows from watchers
         or peers. Evacuation orders are read without `may_be_stale`, since no flow may
@@ -172,8 +172,8 @@
                 self._store.read(EVACUATIONS, prefix=True),
                 self._read_balancers(may_be_stale=True),
             )
-            self._take_evacuations(evacuations)
-            self._configuration.take_packed(copy.packed)
+            self._apply_evacuations(evacuations)
+            self._configuration.apply_packed(copy.packed)
         except StoreError as error:
             _log.info("store unreachable", reason=str(error), key=CONFIGURATION_COPY)
             return
@@ -209,7 +209,7 @@
                     CONFIGURATION, prefix=True, from_revision=revision.next
                 ):
                     backoff = backoff.after_success()
-                    self._take_event(event)
+                    self._apply_event(event)
             except CompactedError as error:
                 _log.info("watch restarted", reason=str(error))
                 # Prevents a busy loop if servers of one store answer alternately
@@ -232,21 +232,21 @@
             await self._read_balancers()
         stored = await self._store.read(CONFIGURATION, prefix=True)
         # Evacuations come first: flows are placed as soon as a configuration is known.
-        self._take_evacuations(stored)
+        self._apply_evacuations(stored)
         if CONFIGURATION in stored.values_by_key:
-            self._configuration.take(stored.values_by_key[CONFIGURATION].value)
+            self._configuration.apply(stored.values_by_key[CONFIGURATION].value)
         self._last_read = self._now()
         return stored.revision
 
     @property
     def _is_conclusive_read_due(self) -> bool:
-        """Whether evacuation orders should be read again after a restore.
+        """Whether the evacuation orders must be read once more after a restore.
 
-        This is once operators have had the time to write lost orders again. Other
-        balancers learn the result by gossip.
+        Watchers do so when operators have had the time to write lost orders again;
+        the other balancers learn the result by gossip.
         """
         number = self._generation.number
-        is_due = self._generation.has_restate_time_passed(now=self._now())
+        is_due = self._generation.is_restore_grace_over(now=self._now())
         return self._conclusive_generation < number and is_due
 
     async def _try_conclusive_read(self) -> None:
@@ -255,11 +255,11 @@
         except StoreError as error:
             _log.info("store unreachable", reason=str(error), key=EVACUATIONS)
             return
-        self._take_evacuations(stored)
+        self._apply_evacuations(stored)
 
-    def _take_evacuations(self, stored: Snapshot) -> None:
+    def _apply_evacuations(self, stored: Snapshot) -> None:
         self._learn_generation(stored.revision)
-        is_conclusive = self._generation.has_restate_time_passed(now=self._now())
+        is_conclusive = self._generation.is_restore_grace_over(now=self._now())
         if is_conclusive:
             self._conclusive_generation = stored.revision.generation
         self._evacuate(_evacuations_in(stored, is_conclusive=is_conclusive))
@@ -279,9 +279,9 @@
         for record in registered_balancers(stored, codec=self._codec):
             self._peers.learn(record)
 
-    def _take_event(self, event: WatchEvent) -> None:
+    def _apply_event(self, event: WatchEvent) -> None:
         if event.key == CONFIGURATION and event.value is not None:
-            self._configuration.take(event.value)
+            self._configuration.apply(event.value)
         elif event.key.startswith(EVACUATIONS):
             order = evacuation(
                 event.key.removeprefix(EVACUATIONS),
--- a/monsoonpier/balancer/stored_configuration.py
+++ b/monsoonpier/balancer/stored_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration as operators stored it, put in force and compressed for others."""
+"""Decoding, applying and compressing of the configuration that operators stored."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 from monsoonpier.model.findings import report
 from monsoonpier.model.service import Configuration
 
-__all__ = ["STORED_FORMAT", "ConfigurationFormat", "StoredConfiguration"]
+__all__ = ["STORED_FORMAT", "ConfigurationFormat", "CurrentConfiguration"]
 
 ALL_SERVICES = ""  # stands for the whole value in place of a service's name
 MAX_LOGGED_FINDINGS = 20
@@ -38,8 +38,8 @@
 )
 
 
-class StoredConfiguration:
-    """Puts newer configurations in force and compresses the current one for others.
+class CurrentConfiguration:
+    """Applies newer configurations and compresses the current one for others.
 
     Args:
         membership: Holds the configuration in force and compares versions.
@@ -70,8 +70,8 @@
         """The configuration in force as a copy for the store."""
         return ConfigurationCopy(version=self.version, packed=self.packed(ALL_SERVICES))
 
-    def take(self, value: bytes) -> None:
-        """Put a stored value in force if it is newer than the current one."""
+    def apply(self, value: bytes) -> None:
+        """Apply a stored value if it is newer than the current one."""
         try:
             configuration = self._format.decode(value)
         except ValueError as error:
@@ -101,14 +101,14 @@
             first=report(configuration.findings[:MAX_LOGGED_FINDINGS]),
         )
 
-    def take_packed(self, packed: bytes) -> None:
-        """Put a compressed value of a peer or a copy in force if it is newer."""
+    def apply_packed(self, packed: bytes) -> None:
+        """Apply a compressed value, of a peer or a copy, if it is newer."""
         try:
             value = unpack(packed)
         except ValueError as error:
             _log.error("packed configuration not usable", reason=str(error))
             return
-        self.take(value)
+        self.apply(value)
 
     def packed(self, service: str) -> bytes:
         """Return the compressed value for a service's agents, or `ALL_SERVICES`."""
--- a/monsoonpier/balancer/table.py
+++ b/monsoonpier/balancer/table.py
@@ -30,7 +30,7 @@
     record: TargetRecord
     load: LoadReport
     learned_at: float
-    heard_at: float | None = None  # last frame of its agent to this balancer
+    received_at: float | None = None  # when its agent last sent a frame here
     is_observed: bool = False  # its agent sends heartbeats to this balancer
     sent_since: int = 0  # new flows sent that its reports don't include yet
     sent_at: float = 0.0  # when the last of them was sent
@@ -63,7 +63,7 @@
         return entry.record if entry else None
 
     def name_at(self, endpoint: tuple[str, int]) -> str:
-        """Return the name of the target whose agent has an address, or ``""``."""
+        """Return the name of the target whose agent uses ``endpoint``, or ``""``."""
         return self._names_by_endpoint.get(endpoint, "")
 
     @property
@@ -101,18 +101,18 @@
         self._names_by_service.setdefault(record.service, set()).add(record.name)
         self._toggle_digest(record)
         if record.condition is not Condition.GONE:
-            self._replace_at_endpoint(record, now=now)
+            self._assign_endpoint(record, now=now)
         return True
 
     def _reset_load(self, entry: _Entry, *, number: int, now: float) -> None:
-        """Discard the load of an earlier process of the target."""
+        """Discard the load reported by an earlier agent process or target instance."""
         entry.load = LoadReport(number=number, condition=entry.record.condition)
         entry.load_received_at = now
         entry.sent_since = 0
         entry.unanswered = 0
 
-    def _replace_at_endpoint(self, record: TargetRecord, *, now: float) -> None:
-        """Mark the earlier target of an agent's address as gone.
+    def _assign_endpoint(self, record: TargetRecord, *, now: float) -> None:
+        """Assign an agent's address to its target, and mark the earlier one as gone.
 
         If the earlier target's record has a later epoch, it keeps the address.
         """
@@ -133,7 +133,7 @@
         entry = self._entries_by_name.get(name)
         if entry is None:
             return
-        entry.heard_at = now
+        entry.received_at = now
         entry.unanswered = 0
         if load.number > entry.load.number:
             entry.load = load
@@ -156,7 +156,7 @@
             entry.sent_at = now
 
     def record_flow_answered(self, name: str) -> None:
-        """Record that one more of the flows sent is included in the reports."""
+        """Record that the reports include one more of the flows sent to a target."""
         entry = self._entries_by_name.get(name)
         if entry is not None and entry.sent_since:
             entry.sent_since -= 1
@@ -168,7 +168,7 @@
             entry.unanswered += 1
 
     def record_silence(self, silence: SilenceReport, *, now: float) -> bool:
-        """Record an observer's report on a target; return whether it was new."""
+        """Record an observer's report; return whether it differs from its last one."""
         entry = self._entries_by_name.get(silence.name)
         if entry is None or entry.record.epoch != silence.epoch:
             return False
@@ -180,7 +180,7 @@
         return known != silence.silent
 
     def changed_silences(self, *, observer: str, now: float) -> list[SilenceReport]:
-        """Check the observed targets; return reports of those whose silence changed.
+        """Detect targets whose heartbeats stop or resume here; return reports of them.
 
         Args:
             observer: The name of this balancer.
@@ -188,9 +188,9 @@
         """
         changed = []
         for name, entry in self._entries_by_name.items():
-            if not entry.is_observed or entry.heard_at is None:
+            if not entry.is_observed or entry.received_at is None:
                 continue
-            silent = now - entry.heard_at > SUSPECT_SECONDS
+            silent = now - entry.received_at > SUSPECT_SECONDS
             if silent == (observer in entry.silent_observers):
                 continue
             silence = SilenceReport(
@@ -218,6 +218,7 @@
             del self._names_by_endpoint[(record.ip, record.port)]
 
     def _remove_from_index(self, record: TargetRecord) -> None:
+        """Remove a record from the index by service and from the digest."""
         self._names_by_service.get(record.service, set()).discard(record.name)
         self._toggle_digest(record)
 
@@ -255,7 +256,7 @@
         return [self._candidate(entry, now=now) for entry in entries]
 
     def is_served(self, service: str, *, now: float) -> bool:
-        """Return whether any target of a service takes new flows, if not full."""
+        """Return whether a service has a target that accepts new flows unless full."""
         candidates = (
             self._candidate(self._entries_by_name[name], now=now)
             for name in self._names_by_service.get(service, ())
@@ -312,12 +313,12 @@
     def _is_suspected(self, entry: _Entry, *, now: float) -> bool:
         """Return whether a target is believed to have failed.
 
-        It is not while this balancer itself receives its heartbeats, whatever other
-        observers report.
+        This is so if several new flows in a row got no answer, or if several observers
+        miss its heartbeats and this balancer receives no frames from its agent either.
         """
         if entry.unanswered >= UNANSWERED_LIMIT:
             return True
-        if entry.heard_at is not None and now - entry.heard_at <= SUSPECT_SECONDS:
+        if entry.received_at is not None and now - entry.received_at <= SUSPECT_SECONDS:
             return False
         return len(entry.silent_observers) >= OBSERVERS_NEEDED
 
--- a/monsoonpier/balancer/target_choice.py
+++ b/monsoonpier/balancer/target_choice.py
@@ -96,7 +96,7 @@
     if not ready:
         return NoTarget(reason="no target is free", retry_after=RETRY_AFTER_SECONDS)
     if prefer is Preference.LOCAL:
-        ready = _local_first(ready, data_centre=data_centre)
+        ready = _prefer_local(ready, data_centre=data_centre)
     if len(ready) == 1:
         return Chosen(record=ready[0].record)
     weights = [capacity(c, cold_start_seconds=cold_start_seconds) for c in ready]
@@ -113,7 +113,8 @@
     return candidate.record.slots * min(1.0, max(FIRST_RAMP_WEIGHT, ramp))
 
 
-def _local_first(ready: list[Candidate], *, data_centre: str) -> list[Candidate]:
+def _prefer_local(ready: list[Candidate], *, data_centre: str) -> list[Candidate]:
+    """Return the local targets that aren't busy, or all targets if there are none."""
     local = [
         c
         for c in ready
@@ -148,7 +149,7 @@
         self._median_ms = timed[len(timed) // 2] if timed else 0
 
     def score(self, candidate: Candidate) -> float:
-        """Return the load relative to the mean; smaller is better."""
+        """Return the load per capacity, scaled by service time; smaller is better."""
         capacity = self._capacity_by_name[candidate.record.name]
         work = (candidate.work + candidate.sent_since) / capacity
         # Flows outlast the cold start, so full capacity counts for them.
--- a/monsoonpier/balancer/tokens/decision.py
+++ b/monsoonpier/balancer/tokens/decision.py
@@ -113,6 +113,18 @@
         draw: random.Random,
         retry_after: float = 0.0,
     ) -> ToAgent | ToCaller:
+        """Send an OPEN to a target that hasn't rejected it, or reject it.
+
+        Args:
+            payload: The OPEN as received.
+            flow: Its flow id.
+            caller: Its sender.
+            service: The service that it was sent to.
+            tried: Names of the targets that it has been sent to.
+            now: The present time.
+            draw: Random numbers.
+            retry_after: Least seconds, before jitter, until the caller may retry.
+        """
         configured = self.configuration.services_by_name.get(service)
         choice: Chosen | NoTarget
         if configured is None:
@@ -192,7 +204,7 @@
     def _place_returned_open(
         self, frame: OpenReturned, *, now: float, draw: random.Random
     ) -> list:
-        """Send an OPEN that an agent rejected to another target."""
+        """Try another target for an OPEN that an agent has rejected."""
         self.table.record_load(frame.agent, frame.load, now=now)
         self.table.record_flow_answered(frame.agent)
         self.opens_by_result["bounced"] += 1
--- a/monsoonpier/balancer/tokens/process.py
+++ b/monsoonpier/balancer/tokens/process.py
@@ -51,7 +51,7 @@
             life=self._life,
             sender=self._sender,
             store=self._store,
-            take_frame=self._take_frame,
+            take_frame=self._receive_frame,
             on_configured=self._rebind.set,
             draw=self._draw,
         )
@@ -74,10 +74,11 @@
         self._life.install_signals()
         _log.info("started")
         jobs = (*self._node.jobs, self._bind_forever)
-        await run_until_shutdown(self._leave_and_finish, jobs)
+        await run_until_shutdown(self._shut_down_on_request, jobs)
         await self._stop()
 
-    async def _leave_and_finish(self) -> None:
+    async def _shut_down_on_request(self) -> None:
+        """Wait for a shutdown request; leave, and wait until packets stop arriving."""
         await self._life.wait_for_shutdown()
         began = _now()
         await self._node.leave()
@@ -105,16 +106,17 @@
             data, caller=sender, service=service, now=now, draw=self._draw
         )
         if action is not None:
-            self._do(action)
+            self._execute(action)
 
-    def _take_frame(self, frame, sender: tuple[str, int]) -> None:
+    def _receive_frame(self, frame, sender: tuple[str, int]) -> None:
         actions = self._balancer.from_process(
             frame, sender=sender, now=_now(), draw=self._draw
         )
         for action in actions:
-            self._do(action)
+            self._execute(action)
 
-    def _do(self, action) -> None:
+    def _execute(self, action) -> None:
+        """Send what an action contains."""
         match action:
             case ToAgent(endpoint=endpoint, frame=frame):
                 self._node.send(frame, endpoint, is_control=False)
@@ -138,6 +140,7 @@
             self._rebind.set()
 
     async def _bind_all(self) -> bool:
+        """Bind and close sockets as configured; return whether all are bound."""
         services = self._balancer.configuration.services_by_name
         endpoints = {
             name: self._bind_address(service.address)
--- a/monsoonpier/wire/control.py
+++ b/monsoonpier/wire/control.py
@@ -77,9 +77,9 @@
 class StatusReply(_Control, tag=6, kw_only=True):
     """Carries the status of a process.
 
-    Only balancers send ``targets``, ``balancers``, ``evacuated`` and, for flows
-    without a token, ``waiting``. Only agents of such flows send ``slot_use``, the
-    totals of their target's slot use by name.
+    Only balancers send ``targets``, ``balancers`` and ``evacuated``. Only balancers of
+    flows without a token send ``waiting``, and only agents of such flows send
+    ``slot_use``, the totals of their target's slot use by name.
     """
 
     name: Name
--- a/monsoonpier/wire/datagrams.py
+++ b/monsoonpier/wire/datagrams.py
@@ -151,7 +151,7 @@
 class Progress(_Message, tag=34, kw_only=True, gc=False):
     """Reports which parts of a request have arrived.
 
-    All parts below ``received_below`` have; ``missing`` names gaps above it.
+    All parts below ``received_below`` have arrived; ``missing`` names gaps above it.
     """
 
     request: Count
@@ -175,7 +175,7 @@
 
 
 class FinalStatusKind(IntEnum):
-    """Final results of a request that has no answer body."""
+    """Final results of requests that end without an answer."""
 
     NOT_RUN = 1
     LATE = 2
@@ -185,7 +185,7 @@
 
 
 class FinalStatus(_Message, tag=36, kw_only=True, gc=False):
-    """Reports the final result of a request that has no answer body.
+    """Reports the final result of a request that ends without an answer.
 
     With ``reopen`` the caller should open another flow for its retry.
     """
@@ -219,11 +219,11 @@
 
 
 class GoAway(_Message, tag=39, kw_only=True, gc=False):
-    """Tells the caller to move to a new flow: the flow's owner is leaving."""
+    """Asks the caller to move to a new flow: the flow's owner is shutting down."""
 
 
 class FlowUnknown(_Message, tag=40, kw_only=True, gc=False):
-    """Reports that the owner named by the token is gone or has dropped the flow."""
+    """Reports that the agent named by the token has no record of the flow."""
 
 
 class Pong(_Message, tag=41, kw_only=True, gc=False):
--- a/monsoonpier/wire/frames.py
+++ b/monsoonpier/wire/frames.py
@@ -155,12 +155,13 @@
 class HeartbeatAck(_Frame, tag=6, kw_only=True, gc=False):
     """Acknowledges a `Heartbeat` or an `Announce`.
 
-    ``known`` says that the balancer has the agent's current record, ``allowed`` that
-    the configuration allows its target. ``known_epoch`` is the epoch of the
-    balancer's record of the agent: a larger one than the agent's own means that the
-    agent's wall clock was set back. ``evacuation`` is the last known order on the
-    agent's data centre. ``cold_per_second`` limits the new flows without a token that
-    a cold target accepts, in configuration ``version``; 0 means no limit.
+    ``version`` is that of the balancer's configuration. ``known`` says that the
+    balancer has the agent's current record, ``allowed`` that the configuration allows
+    the agent's target. ``known_epoch`` is the epoch of the balancer's record of the
+    agent: a larger one than the agent's own means that the agent's wall clock was set
+    back. ``evacuation`` is the last known order on the agent's data centre.
+    ``cold_per_second`` limits the new flows without a token that a cold target
+    accepts; 0 means no limit.
     """
 
     balancer: Name
@@ -187,7 +188,7 @@
 ):
     """Reports that a balancer, the observer, misses an agent's heartbeats.
 
-    With ``silent`` false it receives them again.
+    If ``silent`` is false, the observer receives them again.
     """
 
     name: Name
@@ -230,7 +231,7 @@
 
     The other fields come with a SYN. ``tried`` names the targets that it has been
     sent to, ``in_time_ms`` is the time left to meet the latency target, ``wait_ms``
-    how long the caller still waits for a slot, ``priority`` that of the route.
+    how long the caller still waits for a slot, ``priority`` the route's priority.
     ``is_offered`` says that the SYN takes a slot that the agent has offered.
     """
 
@@ -260,8 +261,8 @@
 class FlowNotOwned(_Frame, tag=11, kw_only=True, gc=False):
     """Reports that an agent's target doesn't own a flow.
 
-    ``payload`` returns the packet, unless the balancer requested a reply: then it
-    has kept the packet itself.
+    ``payload`` returns the packet. It is empty if the balancer requested a reply,
+    since the balancer has then kept a copy of the packet.
     """
 
     agent: Name
@@ -270,7 +271,10 @@
 
 
 class SynRejected(_Frame, tag=12, kw_only=True, gc=False):
-    """Returns a SYN that an agent or its target rejected, for another target."""
+    """Returns a rejected SYN, so that the balancer tries another target.
+
+    The agent or its target rejected it.
+    """
 
     agent: Name
     payload: Payload
@@ -305,8 +309,8 @@
 class OfferSlot(_Frame, tag=22, kw_only=True, gc=False):
     """Offers a slot, for a short time, to a balancer that has requested one.
 
-    ``is_late_turn`` asks for a flow that can't meet its latency target any more, the
-    one that gives up first.
+    If ``is_late_turn`` is true, the slot is for a flow that can no longer meet its
+    latency target: for the one whose caller gives up first.
     """
 
     agent: Name
@@ -323,15 +327,15 @@
 class LoadUpdate(_Frame, tag=13, kw_only=True, gc=False):
     """Reports a changed load to the balancers that send flows to the agent.
 
-    The agent is identified by the sender's address, which keeps this frame small:
-    it is by far the most frequent one.
+    The agent is identified by the sender's address, which keeps this frequent frame
+    small.
     """
 
     load: LoadReport
 
 
 class DirectoryUpdate(_Frame, tag=14, kw_only=True, gc=False):
-    """Registers flows and their owners at the flows' directory balancers."""
+    """Reports the owners of flows to the flows' directory balancer."""
 
     entries: Annotated[
         tuple[tuple[FlowAddress, Name], ...], Meta(max_length=MAX_ENTRIES)
@@ -362,10 +366,11 @@
 class OwnershipReply(_Frame, tag=18, kw_only=True, gc=False):
     """Answers which of the flows in a query the agent's target owns.
 
-    ``is_conclusive`` says that it doesn't own the others; an agent that was started
-    beside a running target can't know that. ``run_ms`` is the time since the target
-    process started, ``None`` if unknown. ``is_absent`` says that no process has
-    listened at the target's address since the agent's start.
+    ``held`` names these flows. ``is_conclusive`` says that the target owns none of the
+    others; an agent that was started beside a running target can't know that.
+    ``run_ms`` is the time since the target process started, ``None`` if unknown.
+    ``is_absent`` says that no process has listened at the target's address since the
+    agent's start.
     """
 
     question: int
@@ -418,7 +423,7 @@
 class FirstAttemptReply(_Frame, tag=32, kw_only=True, gc=False):
     """Answers with the time since a caller's first attempt, if it is known.
 
-    ``tries`` counts its attempts before this flow.
+    ``tries`` counts the caller's attempts before this flow.
     """
 
     flow: FlowAddress
--- a/monsoonpier/wire/packet.py
+++ b/monsoonpier/wire/packet.py
@@ -49,7 +49,12 @@
     """Parses packets and builds resets; implemented by the platform's adapter."""
 
     def decode(self, data: bytes, *, from_target: bool) -> Packet | Dropped:
-        """Return the packet in ``data``, or a `Dropped` with the reason."""
+        """Return the packet in ``data``, or a `Dropped` with the reason.
+
+        Args:
+            data: The packet as received.
+            from_target: Whether a target sent it, rather than a caller.
+        """
 
     def reset(self, flow: bytes, *, acknowledged: int) -> bytes:
         """Return a reset packet for a flow's caller.
--- a/tests/balancer/test_contact.py
+++ b/tests/balancer/test_contact.py
@@ -1,4 +1,4 @@
-"""Readiness of a balancer that hears no other process."""
+"""Readiness of a balancer that receives no frames of other processes."""
 
 import unittest
 
--- a/tests/balancer/test_decision.py
+++ b/tests/balancer/test_decision.py
@@ -32,27 +32,29 @@
 OPEN = caller_codec.encode(Open(flow=FLOW, padding=bytes(MIN_OPEN_BYTES)))
 
 
-def send(to, payload: bytes, *, of: str = "maps", now: float = 1.0):
-    """Pass a caller's packet to a balancer."""
+def send(to, payload: bytes, *, service_name: str = "maps", now: float = 1.0):
+    """Pass a caller's packet to a balancer; return its action."""
     return to.from_caller(
-        payload, caller=CALLER, service=of, now=now, draw=random.Random(1)
+        payload, caller=CALLER, service=service_name, now=now, draw=random.Random(1)
     )
 
 
 def frame(to, message, *, sender=("10.1.0.1", 9000), now: float = 1.0) -> list:
-    """Pass a frame of another process to a balancer."""
+    """Pass a frame of another process to a balancer; return its actions."""
     return to.from_process(message, sender=sender, now=now, draw=random.Random(1))
 
 
-def beat(of, *, number: int = 1) -> Heartbeat:
+def heartbeat(target, *, number: int = 1) -> Heartbeat:
     """Return the heartbeat of a serving target."""
     load = LoadReport(number=number, condition=Condition.SERVING, age_ms=60_000)
-    return Heartbeat(name=of.name, epoch=of.epoch, change=of.change, load=load)
+    return Heartbeat(
+        name=target.name, epoch=target.epoch, change=target.change, load=load
+    )
 
 
-def token_packet(*, flow: bytes = FLOW, of: str = "maps", keys=KEYS) -> bytes:
+def token_packet(*, flow: bytes = FLOW, service_name: str = "maps", keys=KEYS) -> bytes:
     """Return a packet of an established flow."""
-    token = FlowToken(service=of, ip="10.1.0.7", port=9000, instance=b"i" * 8)
+    token = FlowToken(service=service_name, ip="10.1.0.7", port=9000, instance=b"i" * 8)
     sealed = seal_token(token, flow=flow, keys=keys)
     return caller_codec.encode(Ping(flow=FLOW, token=sealed, acked=1))
 
@@ -67,22 +69,22 @@
         action = send(new, token_packet())
         self.assertEqual(action.endpoint, ("10.1.0.7", 9000))
 
-    def test_bad_packets_go_nowhere(self):
+    def test_bad_packets_are_dropped(self):
         """Forged, foreign and malformed packets are dropped and counted."""
         other = KeyRing(keys=(Key(id=1, secret=b"o" * 32),))
         short = caller_codec.encode(Open(flow=FLOW))
         table = (
             (token_packet(keys=other), "forged_token"),
             (token_packet(flow=b"g" * 16), "forged_token"),
-            (token_packet(of="logs"), "foreign_service"),
+            (token_packet(service_name="logs"), "foreign_service"),
             (short, "short_open"),
             (b"\x01\x96\x02", "malformed"),
         )
         for payload, reason in table:
             with self.subTest(reason=reason):
-                one = balancer()
-                self.assertIsNone(send(one, payload))
-                self.assertEqual(one.dropped_by_reason, {reason: 1})
+                node = balancer()
+                self.assertIsNone(send(node, payload))
+                self.assertEqual(node.dropped_by_reason, {reason: 1})
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(tables=st.lists(st.sets(st.integers(1, 9)), min_size=2, max_size=5))
@@ -102,19 +104,19 @@
     """New flows are placed, placed again after a rejection, or rejected."""
 
     def _with_targets(self, count: int):
-        one = balancer()
+        node = balancer()
         for number in range(1, count + 1):
-            of = record(f"maps-{number}", host=number)
-            frame(one, Announce(record=of))
-            frame(one, beat(of))
-        return one
+            target = record(f"maps-{number}", host=number)
+            frame(node, Announce(record=target))
+            frame(node, heartbeat(target))
+        return node
 
     def test_rejected_open_goes_to_another_target(self):
         """An OPEN that one agent rejects goes to another at once."""
-        one = self._with_targets(2)
-        first = send(one, OPEN)
+        node = self._with_targets(2)
+        first = send(node, OPEN)
         load = LoadReport(number=9, condition=Condition.LEAVING)
-        bounce = OpenReturned(
+        returned = OpenReturned(
             service="maps",
             ip=CALLER[0],
             port=CALLER[1],
@@ -125,7 +127,7 @@
             agent=first.frame.tried[0],
             load=load,
         )
-        (second,) = frame(one, bounce)
+        (second,) = frame(node, returned)
         self.assertIsInstance(second, ToAgent)
         self.assertNotEqual(second.endpoint, first.endpoint)
         last = OpenReturned(
@@ -139,36 +141,41 @@
             agent=second.frame.tried[-1],
             load=load,
         )
-        (refused,) = frame(one, last)
-        self.assertIsInstance(refused, ToCaller)
-        message = reply_codec.decode(refused.payload)
+        (rejection,) = frame(node, last)
+        self.assertIsInstance(rejection, ToCaller)
+        message = reply_codec.decode(rejection.payload)
         self.assertIsInstance(message, OpenRejected)
         self.assertGreater(message.retry_after_ms, 300)
 
     def test_targets_that_are_not_allowed(self):
         """A target that the configuration doesn't allow gets no flow."""
-        one = balancer()
-        of = record("charts-1")
-        frame(one, Announce(record=of))
-        frame(one, beat(of))
-        self.assertIsInstance(send(one, OPEN), ToCaller)
+        node = balancer()
+        target = record("charts-1")
+        frame(node, Announce(record=target))
+        frame(node, heartbeat(target))
+        self.assertIsInstance(send(node, OPEN), ToCaller)
 
     def test_announced_condition_is_newer(self):
         """An announced condition replaces the one in an earlier heartbeat."""
-        one = balancer()
-        of = record("maps-1")
-        frame(one, Announce(record=of))
+        node = balancer()
+        target = record("maps-1")
+        frame(node, Announce(record=target))
         load = LoadReport(number=1, condition=Condition.STARTING)
-        frame(one, Heartbeat(name=of.name, epoch=of.epoch, change=of.change, load=load))
-        self.assertIsInstance(send(one, OPEN), ToCaller)
-        frame(one, Announce(record=of.with_condition(Condition.SERVING)))
-        self.assertIsInstance(send(one, OPEN), ToAgent)
+        frame(
+            node,
+            Heartbeat(
+                name=target.name, epoch=target.epoch, change=target.change, load=load
+            ),
+        )
+        self.assertIsInstance(send(node, OPEN), ToCaller)
+        frame(node, Announce(record=target.with_condition(Condition.SERVING)))
+        self.assertIsInstance(send(node, OPEN), ToAgent)
 
     def test_flows_in_flight_are_counted(self):
         """A load report doesn't reset the count of flows that it can't include."""
-        one = self._with_targets(1)
+        node = self._with_targets(1)
         for _ in range(3):
-            send(one, OPEN)
+            send(node, OPEN)
         reply = ReplyDatagram(
             service="maps",
             ip=CALLER[0],
@@ -178,13 +185,13 @@
             load=LoadReport(number=5, flows=1, condition=Condition.SERVING),
             opened=True,
         )
-        frame(one, reply)
-        (candidate,) = one.table.candidates(service(), now=1.0)
+        frame(node, reply)
+        (candidate,) = node.table.candidates(service(), now=1.0)
         self.assertEqual(candidate.placed, 3)
 
     def test_unknown_service(self):
         """An OPEN to a service that isn't configured is rejected."""
-        self.assertIsInstance(send(balancer(), OPEN, of="nothing"), ToCaller)
+        self.assertIsInstance(send(balancer(), OPEN, service_name="nothing"), ToCaller)
 
 
 class ConfigurationTests(unittest.TestCase):
@@ -192,12 +199,12 @@
 
     def test_never_older(self):
         """An older or equal version is rejected."""
-        one = balancer()
+        node = balancer()
         newer = Configuration(version=7, services_by_name={"maps": service()})
-        self.assertTrue(one.membership.configure(newer))
+        self.assertTrue(node.membership.configure(newer))
         for version in (6, 7, 0):
-            self.assertFalse(one.membership.configure(Configuration(version=version)))
-        self.assertEqual(one.configuration, newer)
+            self.assertFalse(node.membership.configure(Configuration(version=version)))
+        self.assertEqual(node.configuration, newer)
 
     def test_peer_with_newer_version_is_asked(self):
         """A balancer fetches a newer version from the peer that gossips it."""
@@ -214,67 +221,69 @@
 class SuspicionTests(unittest.TestCase):
     """A lost or late datagram, or one broken link, doesn't make a target suspected."""
 
-    def _watched(self):
-        one = balancer()
-        of = record("maps-1")
-        frame(one, Announce(record=of))
-        frame(one, beat(of))
-        return one, of
+    def _with_observed_target(self):
+        node = balancer()
+        target = record("maps-1")
+        frame(node, Announce(record=target))
+        frame(node, heartbeat(target))
+        return node, target
 
-    def _miss(self, one, of, *, now: float) -> None:
-        """Let two other observers say that a target is silent."""
+    def _report_silence(self, node, target, *, now: float) -> None:
+        """Let two other observers report that a target is silent."""
         for observer in ("b2", "b3"):
             silence = SilenceReport(
-                name=of.name, epoch=of.epoch, observer=observer, silent=True
+                name=target.name, epoch=target.epoch, observer=observer, silent=True
             )
-            one.table.record_silence(silence, now=now)
+            node.table.record_silence(silence, now=now)
 
-    def _is_suspected(self, one, *, now: float) -> bool:
-        return one.table.candidates(service(), now=now)[0].suspected
+    def _is_suspected(self, node, *, now: float) -> bool:
+        return node.table.candidates(service(), now=now)[0].suspected
 
     def test_one_missed_heartbeat(self):
         """Two missed heartbeats are not reported as silence."""
-        one, _ = self._watched()
-        self.assertEqual(one.table.changed_silences(observer="b1", now=3.5), [])
+        node, _ = self._with_observed_target()
+        self.assertEqual(node.table.changed_silences(observer="b1", now=3.5), [])
 
     def test_one_observer_is_not_enough(self):
         """A report of one observer alone doesn't make a target suspected."""
-        one, of = self._watched()
+        node, target = self._with_observed_target()
         later = 1.0 + SUSPECT_SECONDS + 0.1
-        one.table.changed_silences(observer="b1", now=later)
-        self.assertFalse(self._is_suspected(one, now=later))
-        second = SilenceReport(name=of.name, epoch=of.epoch, observer="b2", silent=True)
-        one.table.record_silence(second, now=later)
-        self.assertTrue(self._is_suspected(one, now=later))
+        node.table.changed_silences(observer="b1", now=later)
+        self.assertFalse(self._is_suspected(node, now=later))
+        second = SilenceReport(
+            name=target.name, epoch=target.epoch, observer="b2", silent=True
+        )
+        node.table.record_silence(second, now=later)
+        self.assertTrue(self._is_suspected(node, now=later))
 
     def test_own_heartbeats_outweigh_observers(self):
         """A balancer that receives a target's heartbeats doesn't suspect it."""
-        one, of = self._watched()
-        self._miss(one, of, now=1.0)
-        self.assertFalse(self._is_suspected(one, now=1.5))
+        node, target = self._with_observed_target()
+        self._report_silence(node, target, now=1.0)
+        self.assertFalse(self._is_suspected(node, now=1.5))
 
     def test_new_instance_clears_suspicion(self):
         """A new instance of a target isn't suspected for the earlier one's silence."""
-        one, of = self._watched()
-        self._miss(one, of, now=1.0)
-        frame(one, Announce(record=record("maps-1", epoch=2)), now=30.0)
-        self.assertFalse(self._is_suspected(one, now=30.0))
+        node, target = self._with_observed_target()
+        self._report_silence(node, target, now=1.0)
+        frame(node, Announce(record=record("maps-1", epoch=2)), now=30.0)
+        self.assertFalse(self._is_suspected(node, now=30.0))
 
     def test_removed_after_long_silence(self):
         """A target is removed `FORGET_SECONDS` after it became suspected."""
-        one, of = self._watched()
-        self._miss(one, of, now=10.0)
-        one.table.remove_expired(now=10.0 + FORGET_SECONDS - 1)
-        self.assertEqual(len(one.table), 1)
-        one.table.remove_expired(now=10.0 + FORGET_SECONDS + 1)
-        self.assertEqual(len(one.table), 0)
+        node, target = self._with_observed_target()
+        self._report_silence(node, target, now=10.0)
+        node.table.remove_expired(now=10.0 + FORGET_SECONDS - 1)
+        self.assertEqual(len(node.table), 1)
+        node.table.remove_expired(now=10.0 + FORGET_SECONDS + 1)
+        self.assertEqual(len(node.table), 0)
 
     def test_older_record_is_rejected(self):
         """A delayed record doesn't replace a newer one."""
-        one, of = self._watched()
-        frame(one, Announce(record=of.with_condition(Condition.LEAVING)))
-        frame(one, Announce(record=of))
-        self.assertEqual(one.table.record("maps-1").condition, Condition.LEAVING)
+        node, target = self._with_observed_target()
+        frame(node, Announce(record=target.with_condition(Condition.LEAVING)))
+        frame(node, Announce(record=target))
+        self.assertEqual(node.table.record("maps-1").condition, Condition.LEAVING)
 
 
 class GossipTests(unittest.TestCase):
--- a/tests/balancer/test_evacuation.py
+++ b/tests/balancer/test_evacuation.py
@@ -1,4 +1,4 @@
-"""How balancers learn of evacuated data centres, and where they place flows then."""
+"""How balancers learn of evacuated data centres, and where new flows then go."""
 
 import random
 import unittest
@@ -13,7 +13,7 @@
     encode_copy,
 )
 from monsoonpier.balancer.store_link import EvacuationsRead, StoreLink
-from monsoonpier.balancer.stored_configuration import StoredConfiguration
+from monsoonpier.balancer.stored_configuration import CurrentConfiguration
 from monsoonpier.model.evacuation import Evacuation, Evacuations
 from monsoonpier.store.interface import Put
 from monsoonpier.store.keys import CONFIGURATION, CONFIGURATION_COPY, EVACUATIONS
@@ -37,9 +37,11 @@
         self.store = FakeStore()
         self.known = Evacuations()
         self.received: list[str] = []
-        configuration = mock.create_autospec(StoredConfiguration, instance=True)
-        configuration.take.side_effect = lambda _: self.received.append("configuration")
-        configuration.take_packed.side_effect = lambda _: self.received.append("copy")
+        configuration = mock.create_autospec(CurrentConfiguration, instance=True)
+        configuration.apply.side_effect = lambda _: self.received.append(
+            "configuration"
+        )
+        configuration.apply_packed.side_effect = lambda _: self.received.append("copy")
         self.link = StoreLink(
             store=self.store,
             peers=balancer("b1").peers,
@@ -71,7 +73,7 @@
         await self.store.transact(compares=(), puts=(), removes=removes)
 
     async def test_before_configuration(self):
-        """Evacuations are put in force before the configuration."""
+        """Evacuations are applied before the configuration."""
         put = Put(key=CONFIGURATION, value=b"c")
         await self.store.transact(compares=(), puts=(put,))
         await self._order(HERE)
@@ -80,7 +82,7 @@
         self.assertTrue(self.known.is_evacuated(HERE))
 
     async def test_before_copy(self):
-        """Evacuations are put in force before the configuration copy."""
+        """Evacuations are applied before the configuration copy."""
         await self._order(HERE)
         copy = encode_copy(ConfigurationCopy(version=1, packed=b"c"), keys=KEYS)
         put = Put(key=CONFIGURATION_COPY, value=copy)
@@ -89,7 +91,7 @@
         self.assertEqual(self.received, ["evacuations", "copy"])
         self.assertTrue(self.known.is_evacuated(HERE))
 
-    async def test_history(self):
+    async def test_watch(self):
         """Orders and deletions after a read are learned from the watch."""
         revision = await self.link._read()
         await self._order(HERE)
@@ -99,10 +101,10 @@
             CONFIGURATION, prefix=True, from_revision=revision.next
         )
         for _ in range(3):
-            self.link._take_event(await anext(watch))
+            self.link._apply_event(await anext(watch))
         self.assertEqual(self.known.active, {"dc-2"})
 
-    async def test_read_anew(self):
+    async def test_missed_deletion(self):
         """A deletion missed by the watch is found by the next read."""
         await self._order(HERE)
         await self.link._read()
@@ -134,13 +136,13 @@
                     found.add(action.endpoint[0])
         return found
 
-    def test_elsewhere(self):
+    def test_local_data_centre_evacuated(self):
         """New flows go to another data centre while the local one is evacuated."""
         rig = self._rig()
         self._evacuate(rig, order(5))
         self.assertEqual(self._endpoints(rig, flows=2), {"10.2.0.3"})
 
-    def test_taken_back(self):
+    def test_deleted_order(self):
         """New flows go to the data centre again after the order is deleted."""
         rig = self._rig()
         self._evacuate(rig, order(5))
@@ -189,7 +191,7 @@
         (action,) = rig.membership.gossip_round(now=CONVERGED, draw=rig.draw)
         self.assertEqual(action.frame.evacuations, (order(5),))
 
-    def test_agents_told(self):
+    def test_agents_are_notified(self):
         """Affected agents that send heartbeats here are informed at once."""
         rig = self._rig()
         for name in ("maps-1", "maps-3"):
--- a/tests/balancer/test_store_link.py
+++ b/tests/balancer/test_store_link.py
@@ -16,7 +16,7 @@
 from monsoonpier.balancer.peers import Peers
 from monsoonpier.balancer.registration import LEASE_TTL_SECONDS
 from monsoonpier.balancer.store_link import EvacuationsRead, StoreLink
-from monsoonpier.balancer.stored_configuration import StoredConfiguration
+from monsoonpier.balancer.stored_configuration import CurrentConfiguration
 from monsoonpier.model.evacuation import Evacuation
 from monsoonpier.store.interface import LeaseNotFoundError, Put, StoreError
 from monsoonpier.store.keys import BALANCERS, CONFIGURATION, CONFIGURATION_COPY
@@ -37,7 +37,7 @@
     async def asyncSetUp(self) -> None:
         self.now = 1000.0
         self.platform = FakeStore(clock=lambda: self.now)
-        self.configuration = mock.create_autospec(StoredConfiguration, instance=True)
+        self.configuration = mock.create_autospec(CurrentConfiguration, instance=True)
         self.evacuated: list[Evacuation | EvacuationsRead] = []
         self.peers = Peers(own=balancer("b1").peers.own)
         self.link = StoreLink(
@@ -185,8 +185,8 @@
             compares=(), puts=(Put(key=CONFIGURATION, value=b"large"),)
         )
         await self.link._load_copy()
-        self.configuration.take_packed.assert_called_once_with(b"packed")
-        self.configuration.take.assert_not_called()
+        self.configuration.apply_packed.assert_called_once_with(b"packed")
+        self.configuration.apply.assert_not_called()
 
     async def test_starts_without_a_copy(self):
         """Without a valid copy the stored configuration itself is read."""
@@ -195,7 +195,7 @@
                 put = Put(key=CONFIGURATION_COPY, value=value)
                 await self.platform.transact(compares=(), puts=(put,))
             await self.link._load_copy()
-            self.configuration.take_packed.assert_not_called()
+            self.configuration.apply_packed.assert_not_called()
             self.assertLess(self.link._last_read, 0)
 
     async def test_only_newer_copies_are_written(self):
--- a/tests/balancer/test_store_restore.py
+++ b/tests/balancer/test_store_restore.py
@@ -14,9 +14,9 @@
 )
 from monsoonpier.balancer.membership import Membership
 from monsoonpier.balancer.registration import LEASE_TTL_SECONDS
-from monsoonpier.balancer.store_generation import RESTATE_SECONDS
+from monsoonpier.balancer.store_generation import RESTORE_GRACE_SECONDS
 from monsoonpier.balancer.store_link import EvacuationsRead, StoreLink
-from monsoonpier.balancer.stored_configuration import StoredConfiguration
+from monsoonpier.balancer.stored_configuration import CurrentConfiguration
 from monsoonpier.model.evacuation import Evacuation, Evacuations
 from monsoonpier.store.interface import Put, StoreError
 from monsoonpier.store.keys import BALANCERS, CONFIGURATION, EVACUATIONS
@@ -43,7 +43,7 @@
             peers=self.membership.peers,
             codec=FrameCodec(keys=KEYS),
             copies=self.copies,
-            configuration=mock.create_autospec(StoredConfiguration, instance=True),
+            configuration=mock.create_autospec(CurrentConfiguration, instance=True),
             evacuate=self._take,
             draw=random.Random(1),
             clock=lambda: self.now,
@@ -176,11 +176,11 @@
         )
         for change, is_evacuated in ((self._order, True), (self._delete_order, False)):
             await change()
-            self.link._take_event(await anext(watch))
+            self.link._apply_event(await anext(watch))
             self.assertIs(self.known.is_evacuated(PLACE), is_evacuated)
 
     async def test_order_that_is_not_written_again(self) -> None:
-        """A lost order that isn't written again ends after `RESTATE_SECONDS`."""
+        """A lost order that isn't written again ends after `RESTORE_GRACE_SECONDS`."""
         backup = self.store.backup()
         await self._order()
         with mock.patch.object(store_link, "WATCH_CHECK_SECONDS", 0.02):
@@ -190,7 +190,7 @@
                 await self._wait_for(lambda: self.restores)
                 await asyncio.sleep(0.2)
                 self.assertTrue(self.known.is_evacuated(PLACE))
-                self.now += RESTATE_SECONDS
+                self.now += RESTORE_GRACE_SECONDS
                 await self._wait_for(lambda: not self.known.is_evacuated(PLACE))
 
     async def test_lost_copy(self):
