--- a/monsoonpier/balancer/contact.py
+++ b/monsoonpier/balancer/contact.py
@@ -58,7 +58,7 @@
         return now - self._since >= self._hold_seconds
 
     def should_probe(self, *, now: float) -> bool:
-        """Return whether peers should be probed, since no frame has arrived lately."""
+        """Return whether peers should be probed, since no frame arrived recently."""
         return now - self._last_frame_at >= PROBE_AFTER_SECONDS
 
     def _is_silent(self, *, has_peers: bool, now: float) -> bool:
--- a/monsoonpier/balancer/node.py
+++ b/monsoonpier/balancer/node.py
@@ -59,7 +59,7 @@
 CONTACT_CHECK_SECONDS = 0.2
 FIRST_JOIN_SECONDS = 0.03  # first interval of join messages
 MAX_JOIN_SECONDS = 0.2
-JOIN_PEERS = 4  # beside the seeds
+JOIN_PEERS = 4  # in addition to the seeds
 _log = structlog.get_logger("monsoonpier.balancer.node")
 
 
@@ -109,7 +109,7 @@
         assert settings.control
         self._settings = settings
         self._membership = membership
-        self._life = life
+        self._lifecycle = life
         self._sender = sender
         self._take_frame = take_frame
         self._read_waiting = read_waiting
@@ -420,7 +420,7 @@
                 return self._status()
             case DrainRequest():
                 name = self._settings.name
-                return handle_drain(message, name=name, life=self._life)
+                return handle_drain(message, name=name, life=self._lifecycle)
         return None
 
     def _status(self) -> StatusReply:
@@ -430,7 +430,7 @@
             name=self._settings.name,
             role="balancer",
             data_centre=self._settings.data_centre,
-            state=self._life.state,
+            state=self._lifecycle.state,
             version=membership.configuration.version,
             uptime=_now() - self._started,
             targets=tuple(
--- a/monsoonpier/balancer/peers.py
+++ b/monsoonpier/balancer/peers.py
@@ -113,7 +113,7 @@
         self._newer_record_of_peer = peer.record if is_outdated else None
 
     def received_from(self, record: BalancerRecord) -> None:
-        """Record that a message came from the peer itself, which is thus alive."""
+        """Record that a peer is alive, since it has sent a message itself."""
         self.learn(record)
         peer = self._peers_by_name.get(record.name)
         if peer is not None:
--- a/monsoonpier/balancer/tokens/process.py
+++ b/monsoonpier/balancer/tokens/process.py
@@ -35,7 +35,7 @@
         assert settings.internal and settings.control and settings.metrics
         self._settings = settings
         self._draw = random.Random()
-        self._life = ProcessLifecycle()
+        self._lifecycle = ProcessLifecycle()
         self._started = time.monotonic()
         self._balancer = Balancer(
             own=balancer_record(settings),
@@ -48,7 +48,7 @@
         self._node = BalancerNode(
             settings=settings,
             membership=self._balancer.membership,
-            life=self._life,
+            life=self._lifecycle,
             sender=self._sender,
             store=self._store,
             take_frame=self._receive_frame,
@@ -59,7 +59,7 @@
         self._web = WebServer(
             address=settings.metrics,
             read_metrics=self._metrics,
-            is_ready=lambda: self._life.is_ready,
+            is_ready=lambda: self._lifecycle.is_ready,
         )
         self._last_packet_at = 0.0
 
@@ -71,7 +71,7 @@
         """
         await self._node.start()
         await self._web.start()
-        self._life.install_signals()
+        self._lifecycle.install_signals()
         _log.info("started")
         jobs = (*self._node.jobs, self._bind_forever)
         await run_until_shutdown(self._shut_down_on_request, jobs)
@@ -79,14 +79,14 @@
 
     async def _shut_down_on_request(self) -> None:
         """Wait for a shutdown request; leave, and wait until packets stop arriving."""
-        await self._life.wait_for_shutdown()
+        await self._lifecycle.wait_for_shutdown()
         began = _now()
         await self._node.leave()
         while _now() - began < LEAVE_SECONDS:
             await asyncio.sleep(0.1)
             if _now() - max(self._last_packet_at, began) > QUIET_SECONDS:
                 break
-        self._life.step("finished")
+        self._lifecycle.step("finished")
 
     async def _stop(self) -> None:
         await self._web.stop()
@@ -134,7 +134,7 @@
             await self._rebind.wait()
             self._rebind.clear()
             if await self._bind_all():
-                self._life.step("configured")
+                self._lifecycle.step("configured")
                 continue
             await asyncio.sleep(BIND_RETRY_SECONDS)
             self._rebind.set()
--- a/monsoonpier/wire/frames.py
+++ b/monsoonpier/wire/frames.py
@@ -367,7 +367,7 @@
     """Answers which of the flows in a query the agent's target owns.
 
     ``held`` names these flows. ``is_conclusive`` says that the target owns none of the
-    others; an agent that was started beside a running target can't know that.
+    others; an agent that was started while its target ran can't know that.
     ``run_ms`` is the time since the target process started, ``None`` if unknown.
     ``is_absent`` says that no process has listened at the target's address since the
     agent's start.
--- a/tests/balancer/test_evacuation.py
+++ b/tests/balancer/test_evacuation.py
@@ -48,20 +48,20 @@
             codec=FrameCodec(keys=KEYS),
             copies=ConfigurationCopies(store=self.store, keys=KEYS),
             configuration=configuration,
-            evacuate=self._take,
+            evacuate=self._apply,
             draw=random.Random(1),
         )
 
-    def _take(self, found: Evacuation | EvacuationsRead) -> None:
+    def _apply(self, update: Evacuation | EvacuationsRead) -> None:
         self.received.append("evacuations")
-        match found:
+        match update:
             case Evacuation():
-                self.known = self.known.joined((found,))
+                self.known = self.known.joined((update,))
             case EvacuationsRead():
                 self.known = self.known.as_read(
-                    found.revisions_by_data_centre,
-                    revision=found.revision,
-                    is_conclusive=found.is_conclusive,
+                    update.revisions_by_data_centre,
+                    revision=update.revision,
+                    is_conclusive=update.is_conclusive,
                 )
 
     async def _order(self, place: str) -> None:
--- a/tests/balancer/test_store_restore.py
+++ b/tests/balancer/test_store_restore.py
@@ -44,20 +44,20 @@
             codec=FrameCodec(keys=KEYS),
             copies=self.copies,
             configuration=mock.create_autospec(CurrentConfiguration, instance=True),
-            evacuate=self._take,
+            evacuate=self._apply,
             draw=random.Random(1),
             clock=lambda: self.now,
             generation=self.membership.store_generation,
             on_restored=lambda old, at: self.restores.append((old, str(at))),
         )
 
-    def _take(self, found: Evacuation | EvacuationsRead) -> None:
-        match found:
+    def _apply(self, update: Evacuation | EvacuationsRead) -> None:
+        match update:
             case Evacuation():
-                self.known = self.known.joined((found,))
+                self.known = self.known.joined((update,))
             case EvacuationsRead(revisions_by_data_centre=orders):
                 self.known = self.known.as_read(
-                    orders, revision=found.revision, is_conclusive=found.is_conclusive
+                    orders, revision=update.revision, is_conclusive=update.is_conclusive
                 )
 
     async def _order(self) -> None:
