--- a/monsoonpier/balancer/tokens/process.py
+++ b/monsoonpier/balancer/tokens/process.py
@@ -35,7 +35,7 @@
         assert settings.internal and settings.control and settings.metrics
         self._settings = settings
         self._draw = random.Random()
-        self._life = ProcessLifecycle()
+        self._lifecycle = ProcessLifecycle()
         self._started = time.monotonic()
         self._balancer = Balancer(
             own=balancer_record(settings),
@@ -48,10 +48,10 @@
         self._node = BalancerNode(
             settings=settings,
             membership=self._balancer.membership,
-            life=self._life,
+            life=self._lifecycle,
             sender=self._sender,
             store=self._store,
-            take_frame=self._take_frame,
+            take_frame=self._receive_frame,
             on_configured=self._rebind.set,
             draw=self._draw,
         )
@@ -59,7 +59,7 @@
         self._web = WebServer(
             address=settings.metrics,
             read_metrics=self._metrics,
-            is_ready=lambda: self._life.is_ready,
+            is_ready=lambda: self._lifecycle.is_ready,
         )
         self._last_packet_at = 0.0
 
@@ -71,21 +71,22 @@
         """
         await self._node.start()
         await self._web.start()
-        self._life.install_signals()
+        self._lifecycle.install_signals()
         _log.info("started")
         jobs = (*self._node.jobs, self._bind_forever)
-        await run_until_shutdown(self._leave_and_finish, jobs)
+        await run_until_shutdown(self._shut_down_on_request, jobs)
         await self._stop()
 
-    async def _leave_and_finish(self) -> None:
-        await self._life.wait_for_shutdown()
+    async def _shut_down_on_request(self) -> None:
+        """Wait for a shutdown request; leave, and wait until packets stop arriving."""
+        await self._lifecycle.wait_for_shutdown()
         began = _now()
         await self._node.leave()
         while _now() - began < LEAVE_SECONDS:
             await asyncio.sleep(0.1)
             if _now() - max(self._last_packet_at, began) > QUIET_SECONDS:
                 break
-        self._life.step("finished")
+        self._lifecycle.step("finished")
 
     async def _stop(self) -> None:
         await self._web.stop()
@@ -105,16 +106,17 @@
             data, caller=sender, service=service, now=now, draw=self._draw
         )
         if action is not None:
-            self._do(action)
+            self._execute(action)
 
-    def _take_frame(self, frame, sender: tuple[str, int]) -> None:
+    def _receive_frame(self, frame, sender: tuple[str, int]) -> None:
         actions = self._balancer.from_process(
             frame, sender=sender, now=_now(), draw=self._draw
         )
         for action in actions:
-            self._do(action)
+            self._execute(action)
 
-    def _do(self, action) -> None:
+    def _execute(self, action) -> None:
+        """Send what an action contains."""
         match action:
             case ToAgent(endpoint=endpoint, frame=frame):
                 self._node.send(frame, endpoint, is_control=False)
@@ -132,12 +134,13 @@
             await self._rebind.wait()
             self._rebind.clear()
             if await self._bind_all():
-                self._life.step("configured")
+                self._lifecycle.step("configured")
                 continue
             await asyncio.sleep(BIND_RETRY_SECONDS)
             self._rebind.set()
 
     async def _bind_all(self) -> bool:
+        """Bind and close sockets as configured; return whether all are bound."""
         services = self._balancer.configuration.services_by_name
         endpoints = {
             name: self._bind_address(service.address)
