--- a/monsoonpier/agent/tokens/owner.py
+++ b/monsoonpier/agent/tokens/owner.py
@@ -329,7 +329,7 @@
             self.lifecycle = self.lifecycle.stay(now=now)
 
     def tick(self, *, now: float, draw: random.Random) -> list[Action]:
-        """Handle all timers that are due by ``now``."""
+        """Handle timers due by ``now``, repeat GoAway messages and fill free slots."""
         self.lifecycle = self.lifecycle.advance(now=now)
         actions: list[Action] = []
         while self._timers and self._timers[0][0] <= now:
--- a/monsoonpier/agent/tokens/requests.py
+++ b/monsoonpier/agent/tokens/requests.py
@@ -117,7 +117,13 @@
         now: float,
         draw: random.Random,
     ) -> tuple[list[Action], list]:
-        """Handle one part of a request; return actions and replies."""
+        """Store one part of a request; admit the request once it is complete.
+
+        A duplicate gets the request's progress or outcome.
+
+        Returns:
+            Actions and replies.
+        """
         if part.request < flow.watermark:
             return [], [already_done(flow, part.request)]
         if part.request >= flow.watermark + WINDOW:
@@ -213,7 +219,7 @@
     def finish_run(
         self, key: RequestKey, result: RunResult, *, now: float, draw: random.Random
     ) -> tuple[Flow | None, list]:
-        """Handle the result of a run; return its flow and the replies to send."""
+        """Store the outcome of a run; return its flow and the replies to send."""
         found = self._running_by_key.pop(key, None)
         if found is None:
             return None, []
--- a/monsoonpier/caller/transfer.py
+++ b/monsoonpier/caller/transfer.py
@@ -125,7 +125,7 @@
         ]
 
     def handle_progress(self, message: Progress, *, acked: int, now: float) -> list:
-        """Handle a message that says which parts the agent has received."""
+        """Resend overdue parts and send the next ones after a progress message."""
         self._reset_resend(now)
         if message.whole:
             self._is_delivered = True
