--- a/monsoonpier/documents/route_shares.py
+++ b/monsoonpier/documents/route_shares.py
@@ -1,4 +1,4 @@
-"""Reading of the weights by which services share a route.
+"""Checking of the weights by which services share a route.
 
 Invalid entries are reported as findings and the rest takes effect: rejecting the whole
 configuration would also discard its other changes.
@@ -31,7 +31,7 @@
 
 
 def read_shares(
-    written: object,
+    raw_shares: object,
     *,
     route: str,
     service: str,
@@ -44,7 +44,7 @@
     get 1 each. The weights of a service that is listed twice are added.
 
     Args:
-        written: A list of mappings with ``service`` and ``weight``, decoded but not
+        raw_shares: A list of mappings with ``service`` and ``weight``, decoded but not
             checked; empty for a route to one service.
         route: The route's name, for findings.
         service: The route's single service, if it names one.
@@ -53,7 +53,7 @@
     weights_by_service: dict[str, float] = {}
     without_weight: list[str] = []
     problems: list[str] = []
-    for entry in _entries(written):
+    for entry in _convert_entries(raw_shares):
         name = entry.service
         if not isinstance(name, str) or not name:
             problems.append(f"{name!r} is not a service name")
@@ -71,13 +71,13 @@
     if not any(weights_by_service.values()):
         weights_by_service |= dict.fromkeys(without_weight, 1.0)
     problems += _check_services(weights_by_service, service=service)
-    findings = tuple(_finding(problem, route=route) for problem in problems)
+    findings = tuple(_build_finding(problem, route=route) for problem in problems)
     return RouteShares(weights_by_service=weights_by_service, findings=findings)
 
 
-def _entries(written: object) -> list[_Entry]:
-    """Return the entries; one that is no mapping is taken as a service name."""
-    entries = written if isinstance(written, list) else [written] if written else []
+def _convert_entries(value: object) -> list[_Entry]:
+    """Return the entries; an entry that is not a mapping names a service."""
+    entries = value if isinstance(value, list) else [value] if value else []
     return [
         _Entry(service=entry.get("service"), weight=entry.get("weight"))
         if isinstance(entry, dict)
@@ -87,6 +87,7 @@
 
 
 def _check_weight(weight: object) -> str:
+    """Return the problem as the end of a sentence; empty if the weight is valid."""
     # bool is a subclass of int.
     if isinstance(weight, bool) or not isinstance(weight, int | float):
         return f"is {weight!r}, not a number"
@@ -96,6 +97,7 @@
 
 
 def _check_services(weights_by_service: dict[str, float], *, service: str) -> list[str]:
+    """Return the problems of the route as a whole."""
     if not weights_by_service:
         return [] if service else ["no service is named"]
     if service:
@@ -105,5 +107,5 @@
     return []
 
 
-def _finding(problem: str, *, route: str) -> Finding:
+def _build_finding(problem: str, *, route: str) -> Finding:
     return Finding(place=Place(file=f"route {route}"), problem=problem)
--- a/monsoonpier/documents/settings.py
+++ b/monsoonpier/documents/settings.py
@@ -42,7 +42,7 @@
 def load_settings(
     file: Path, *, role: str, environment: Mapping[str, str] = os.environ
 ) -> LoadedSettings:
-    """Read and check the settings file of a process with a role."""
+    """Read the settings file of a process, apply the environment and check both."""
     try:
         text = file.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -62,7 +62,7 @@
     if findings:
         return LoadedSettings(findings=tuple(findings))
     return LoadedSettings(
-        settings=_build(document.content), masked=_mask(document.content)
+        settings=_build_settings(document.content), masked=_mask(document.content)
     )
 
 
@@ -86,6 +86,7 @@
 
 
 def _check_role(document: YamlDocument, role: str) -> list[Finding]:
+    """Check that the settings are for a role and have the keys that it requires."""
     content = document.content
     findings = []
     if content.get("role") not in (role, None):
@@ -108,10 +109,10 @@
 
 
 def _check_values(document: YamlDocument) -> list[Finding]:
-    """Check what the schema can't: invalid addresses, and conflicts of values."""
+    """Check what the schema can't: addresses, numbers and conflicting values."""
     content = document.content
     findings = []
-    for path, text in _addresses(content):
+    for path, text in _list_addresses(content):
         try:
             Address.parse(text)
         except ValueError as error:
@@ -138,13 +139,14 @@
     return findings
 
 
-def _addresses(content: dict) -> list[tuple[tuple, str]]:
+def _list_addresses(content: dict) -> list[tuple[tuple, str]]:
+    """Return the path and text of each address."""
     found = [((key,), content[key]) for key in _ADDRESS_KEYS if key in content]
     seeds = content.get("seeds", [])
     return found + [(("seeds", n), seed) for n, seed in enumerate(seeds)]
 
 
-def _build(content: dict) -> Settings:
+def _build_settings(content: dict) -> Settings:
     addresses = {
         key: Address.parse(content[key]) for key in _ADDRESS_KEYS if key in content
     }
--- a/monsoonpier/documents/stored.py
+++ b/monsoonpier/documents/stored.py
@@ -25,7 +25,16 @@
 class StoredConfiguration(
     msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True
 ):
-    """The stored value: the files as written, and the services they declare."""
+    """The stored value.
+
+    Attributes:
+        version: Number of the configuration; each change increments it.
+        apply_id: Unique identifier of the change that stored this version.
+        who: The operator who made the change.
+        at: The time of the change, in ISO 8601 format.
+        files: The texts of the files, by name.
+        services: The services that the files declare, by name.
+    """
 
     version: int
     apply_id: str
@@ -67,7 +76,7 @@
 
 
 def pack(value: bytes, *, service: str = "") -> bytes:
-    """Compress a stored value, reduced to one service if one is named.
+    """Compress a stored value; if a service is named, reduce the value to it.
 
     Raises:
         ValueError: If the value is not a valid stored configuration.
--- a/monsoonpier/documents/yaml_document.py
+++ b/monsoonpier/documents/yaml_document.py
@@ -17,7 +17,7 @@
 
 MAX_DOCUMENT_BYTES = 1_048_576
 MAX_DEPTH = 32
-Path = tuple[str | int, ...]
+KeyPath = tuple[str | int, ...]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -26,9 +26,9 @@
 
     file: str
     content: Any
-    places_by_path: dict[Path, Place] = field(default_factory=dict)
+    places_by_path: dict[KeyPath, Place] = field(default_factory=dict)
 
-    def place(self, path: Path) -> Place:
+    def place(self, path: KeyPath) -> Place:
         """Return the place of a path, or of its nearest parent."""
         while path and path not in self.places_by_path:
             path = path[:-1]
@@ -73,7 +73,7 @@
 
 
 def read_document(text: str, *, file: str) -> tuple[YamlDocument, list[Finding]]:
-    """Parse one YAML document; report invalid text as findings, not exceptions."""
+    """Parse one YAML document; return findings instead of raising exceptions."""
     empty = YamlDocument(file=file, content={})
     place = Place(file=file)
     if len(text.encode()) > MAX_DOCUMENT_BYTES:
@@ -106,10 +106,10 @@
     def __init__(self, file: str) -> None:
         self._file = file
         self._constructor = YAML(typ="safe", pure=True).constructor
-        self.places_by_path: dict[Path, Place] = {}
+        self.places_by_path: dict[KeyPath, Place] = {}
         self.findings: list[Finding] = []
 
-    def read(self, node: Node, path: Path) -> Any:
+    def read(self, node: Node, path: KeyPath) -> Any:
         self.places_by_path[path] = self._place(node)
         if len(path) > MAX_DEPTH:
             self._add_finding(node, "nested too deeply")
@@ -126,7 +126,7 @@
                 return self._scalar(node)
         return None
 
-    def _mapping(self, node: MappingNode, path: Path) -> dict:
+    def _mapping(self, node: MappingNode, path: KeyPath) -> dict:
         values: dict = {}
         for key_node, value_node in node.value:
             key = str(key_node.value) if isinstance(key_node, ScalarNode) else "?"
@@ -144,7 +144,7 @@
         except (YAMLError, ValueError) as error:
             self._add_finding(node, f"invalid value: {error}")
             return None
-        # Values of other types, such as dates, keep their text.
+        # Values of other types, such as dates, are left as text.
         is_plain = value is None or isinstance(value, str | bool | int | float)
         return value if is_plain else node.value
 
--- a/monsoonpier/http/client.py
+++ b/monsoonpier/http/client.py
@@ -9,7 +9,7 @@
 
 __all__ = ["HttpClient", "HttpError"]
 
-MAX_IDLE_CONNECTIONS = 2  # one for a long-polling watch, one for other calls
+MAX_IDLE_CONNECTIONS = 2  # one for a long poll, one for other calls
 IDLE_SECONDS = 8.0  # shorter than the idle timeout of common servers
 CONNECT_SECONDS = 1.0
 
@@ -41,7 +41,7 @@
             method: The HTTP method.
             target: The path and query.
             body: The JSON body, if any.
-            timeout: Seconds to wait for the complete response.
+            timeout: Seconds to wait for the complete response once connected.
 
         Raises:
             HttpError: If no complete response is received in time.
@@ -49,7 +49,7 @@
         connection = await self._acquire(min(timeout, CONNECT_SECONDS))
         try:
             response = await asyncio.wait_for(
-                connection.exchange(self._request(method, target, body)), timeout
+                connection.exchange(self._encode_request(method, target, body)), timeout
             )
         except (TimeoutError, OSError, httptools.HttpParserError) as error:
             connection.close()
@@ -91,7 +91,7 @@
             return
         connection.close()
 
-    def _request(self, method: str, target: str, body: bytes) -> bytes:
+    def _encode_request(self, method: str, target: str, body: bytes) -> bytes:
         head = f"{method} {target} HTTP/1.1\r\nHost: {self._address}\r\n"
         if body or method == "POST":
             head += f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n"
--- a/monsoonpier/http/server.py
+++ b/monsoonpier/http/server.py
@@ -34,7 +34,7 @@
         self._connections: set[_Connection] = set()
 
     async def start(self) -> None:
-        """Start to serve.
+        """Start serving.
 
         Raises:
             OSError: If the port is in use.
@@ -73,7 +73,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection; handles its requests in turn."""
+    """One connection; parses requests and sends the responses in order."""
 
     def __init__(self, server: HttpServer) -> None:
         self._server = server
@@ -101,7 +101,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    # Callbacks of the parser.
+    # Callbacks of httptools:
 
     def on_message_begin(self) -> None:
         self._url = b""
@@ -118,7 +118,7 @@
 
     def on_message_complete(self) -> None:
         try:
-            request = self._request()
+            request = self._build_request()
         except (httptools.HttpParserError, UnicodeDecodeError, ValueError) as error:
             _log.warning("malformed request", reason=str(error))
             self._reply(Response(status=400), keep_alive=False)
@@ -126,7 +126,7 @@
         keep_alive = self._parser.should_keep_alive()
         self._reply(self._server.handle(request), keep_alive=keep_alive)
 
-    def _request(self) -> Request:
+    def _build_request(self) -> Request:
         url = httptools.parse_url(self._url)
         query = (url.query or b"").decode()
         return Request(
--- a/monsoonpier/link/schedule.py
+++ b/monsoonpier/link/schedule.py
@@ -1,8 +1,8 @@
-"""Order and pace of the datagrams that leave on a link of limited rate.
+"""Scheduling of outgoing datagrams on a link of limited rate.
 
-Callers send whole windows in a burst. Forwarded at once, a burst overflows the queue
-of a slow link, which loses packets and control messages alike. So datagrams are queued
-here by priority and released no faster than the link's rate. This module does no I/O.
+Callers send in bursts. A burst that is forwarded at once overflows the queue of a slow
+link, which then drops packets and control messages alike. So datagrams are queued here
+by priority and released no faster than the link's rate. This module does no I/O.
 """
 
 from collections import Counter, OrderedDict, deque
@@ -17,16 +17,16 @@
 # and headers of lower layers have room.
 RATE_SHARE = 0.95
 HEADER_BYTES = 28  # of IPv4 and UDP
-# Burst that may exceed the rate, in seconds of the link's time. It covers late wake-ups
-# of the process and is shorter than the queue of a link.
+# Size of the burst that is sent without pacing, as the seconds that the link takes to
+# send it. It compensates for late wake-ups and fits into the queue of a link.
 AHEAD_SECONDS = 0.005
-# Callers retransmit a packet 0.2 s and 0.6 s after the first one. A packet that waited
-# longer has been retransmitted twice.
+# Callers retransmit a packet 0.2 s and 0.6 s after they first sent it, so a packet that
+# waited longer has been retransmitted twice.
 MAX_WAIT_SECONDS = 0.6
-MAX_KEPT_BYTES = 8 * 1_048_576  # limit of queued bytes at any rate of the link
+MAX_QUEUED_BYTES = 8 * 1_048_576  # limit of queued bytes, whatever the link's rate
 # Smaller datagrams (new flows, requests, acknowledgements) go before larger ones.
 SMALL_BYTES = 500
-# After this many small datagrams a waiting large one goes first, so that uploads make
+# After this many small datagrams a queued large one is sent, so that uploads make
 # progress.
 SMALL_RUN = 3
 
@@ -54,9 +54,9 @@
     Attributes:
         data: The payload.
         endpoint: The destination's IP address and port.
-        urgency: The priority; packets of one flow stay in order all the same.
-        flow: The flow that it belongs to; empty if none.
-        queued_at: The time at which it was queued, in seconds.
+        urgency: The priority among flows; packets of one flow stay in order.
+        flow: The key of the flow that the datagram belongs to; empty if none.
+        queued_at: The monotonic time at which it was queued, in seconds.
         socket: The socket to send through.
     """
 
@@ -101,7 +101,7 @@
 
 
 class LinkSchedule:
-    """A token bucket for the link's rate with priority queues behind it.
+    """Priority queues whose output is limited to the link's rate.
 
     Control is sent first, then small datagrams, then large ones; flows of one urgency
     take turns. If more is queued than the link sends in `MAX_WAIT_SECONDS`, the newest
@@ -116,7 +116,7 @@
         assert bits_per_second > 0
         self._bytes_per_second = RATE_SHARE * bits_per_second / 8
         self._max_bytes = min(
-            MAX_KEPT_BYTES, int(MAX_WAIT_SECONDS * self._bytes_per_second)
+            MAX_QUEUED_BYTES, int(MAX_WAIT_SECONDS * self._bytes_per_second)
         )
         self._free_at = 0.0  # time at which the link has sent everything released
         self._queues = tuple(_Queue() for _ in Urgency)
@@ -139,22 +139,28 @@
         return True
 
     def enqueue(self, datagram: Datagram) -> None:
-        """Queue a datagram; drop datagrams if the queues are over their limit."""
+        """Queue a datagram unless it duplicates a queued one.
+
+        Drop datagrams if the queues are over their limit.
+        """
         content = (datagram.endpoint, datagram.data)
         if content in self._queued:
             self.dropped_by_reason["copy"] += 1
             return
         self._queued.add(content)
-        self.queued_bytes += _size(datagram.data)
+        self.queued_bytes += _size_with_headers(datagram.data)
         self._queues[self._assign_queue(datagram)].append(datagram)
         while self.queued_bytes > self._max_bytes and self._drop_one():
             pass
 
     def pop_due(self, *, now: float) -> Iterator[Datagram]:
-        """Remove and yield the datagrams to send now, in order."""
+        """Remove and yield the datagrams to send now, in order.
+
+        Drop datagrams other than control that waited longer than `MAX_WAIT_SECONDS`.
+        """
         while self._queued and self._free_at - now <= AHEAD_SECONDS:
             datagram = self._pop_next()
-            if now - datagram.queued_at > MAX_WAIT_SECONDS and _may_drop(datagram):
+            if now - datagram.queued_at > MAX_WAIT_SECONDS and _may_expire(datagram):
                 self.dropped_by_reason["waited too long"] += 1
                 continue
             self._take_tokens(len(datagram.data), now=now)
@@ -169,9 +175,9 @@
         self._free_at = max(self._free_at, now) + seconds
 
     def _assign_queue(self, datagram: Datagram) -> Urgency:
-        """Count a datagram for its flow and return the queue to put it in.
+        """Return the queue for a datagram, and count the datagram for its flow.
 
-        That is the queue of the flow's other datagrams, if any, to keep their order.
+        To keep the order of a flow, all its datagrams go to the queue of the first.
         """
         flow = datagram.flow
         if not flow:
@@ -180,6 +186,7 @@
         return self._urgency_by_flow.setdefault(flow, datagram.urgency)
 
     def _pop_next(self) -> Datagram:
+        """Remove the datagram to send next; at least one must be queued."""
         control, small, bulk = self._queues
         if control:
             return self._untrack(control.pop())
@@ -191,7 +198,7 @@
         return self._untrack(bulk.pop())
 
     def _drop_one(self) -> bool:
-        """Drop one datagram, control last; return whether there was any."""
+        """Drop one datagram, control last; return ``False`` if none is queued."""
         for urgency in reversed(Urgency):
             if self._queues[urgency]:
                 self._untrack(self._queues[urgency].pop_last_of_longest())
@@ -202,7 +209,7 @@
     def _untrack(self, datagram: Datagram) -> Datagram:
         """Remove a datagram that left its queue from all counts; return it."""
         self._queued.discard((datagram.endpoint, datagram.data))
-        self.queued_bytes -= _size(datagram.data)
+        self.queued_bytes -= _size_with_headers(datagram.data)
         flow = datagram.flow
         if flow:
             self._queued_by_flow[flow] -= 1
@@ -212,9 +219,9 @@
         return datagram
 
 
-def _size(data: bytes) -> int:
+def _size_with_headers(data: bytes) -> int:
     return len(data) + HEADER_BYTES
 
 
-def _may_drop(datagram: Datagram) -> bool:
+def _may_expire(datagram: Datagram) -> bool:
     return datagram.urgency is not Urgency.CONTROL
--- a/monsoonpier/link/sender.py
+++ b/monsoonpier/link/sender.py
@@ -1,4 +1,4 @@
-"""Sending of datagrams through a process's sockets at the link's rate."""
+"""Sending of datagrams through a process's sockets, paced to the link's rate."""
 
 import asyncio
 import time
@@ -11,7 +11,7 @@
 
 __all__ = ["LinkSender"]
 
-NOTE_SECONDS = 1.0  # least time between two log lines about drops
+LOG_INTERVAL_SECONDS = 1.0  # minimum between two log lines about drops
 _log = structlog.get_logger("monsoonpier.link.sender")
 
 
@@ -99,10 +99,13 @@
             self._schedule_release(now=now)
 
     def _log_drops(self, *, now: float) -> None:
-        """Log new drops, at most one line per `NOTE_SECONDS`."""
+        """Log new drops, at most one line per `LOG_INTERVAL_SECONDS`."""
         assert self._schedule is not None
         drops = self._schedule.dropped_by_reason
-        if now - self._logged_at < NOTE_SECONDS or drops.total() == self._logged_drops:
+        if (
+            now - self._logged_at < LOG_INTERVAL_SECONDS
+            or drops.total() == self._logged_drops
+        ):
             return
         _log.warning(
             "link full",
--- a/monsoonpier/platform/__main__.py
+++ b/monsoonpier/platform/__main__.py
@@ -6,11 +6,12 @@
 
 
 def _run() -> int:
-    # SIGHUP reports changed settings. Its default action would end the process
-    # before the process installs its own handler.
+    """Run the daemon that the command line names; return its exit status."""
+    # SIGHUP reports changed settings. Until the daemon installs its own handler, the
+    # default action of the signal would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # Imports create many objects but little garbage, so collection only slows the
-    # start. The daemon enables it again.
+    # Imports create many objects but little garbage, so garbage collection only
+    # slows the start. The daemon enables it again.
     gc.disable()
     from monsoonpier.platform.daemons import main
 
--- a/monsoonpier/platform/configuration.py
+++ b/monsoonpier/platform/configuration.py
@@ -32,17 +32,17 @@
 
 
 class _Limits(msgspec.Struct, frozen=True, kw_only=True):
-    idle_timeout_ms: float = 15_000
+    idle_timeout_ms: float = 15_000  # checked but not used
 
 
-class _Stored(msgspec.Struct, frozen=True, kw_only=True):
+class _OperatorConfiguration(msgspec.Struct, frozen=True, kw_only=True):
     version: int
     routes: list[_Route]
     services: list[_Service] = []
     limits: _Limits = _Limits()
 
 
-_decode_json = msgspec.json.Decoder(_Stored).decode
+_decode_json = msgspec.json.Decoder(_OperatorConfiguration).decode
 
 
 def _decode_configuration(value: bytes) -> Configuration:
@@ -85,7 +85,7 @@
 
 
 def _compress(value: bytes, service: str) -> bytes:
-    """Return the value compressed; ``service`` is not used on this path."""
+    """Compress the whole value, whatever the service."""
     return zlib.compress(value)
 
 
--- a/monsoonpier/platform/daemons.py
+++ b/monsoonpier/platform/daemons.py
@@ -24,9 +24,9 @@
 
 def main(arguments: list[str]) -> int:
     """Run the process for the role on the command line; return its exit status."""
-    runs_by_role = {"balancer": _run_balancer, "agent": _run_agent}
+    runners_by_role = {"balancer": _run_balancer, "agent": _run_agent}
     role = arguments[0] if arguments else ""
-    if len(arguments) != 1 or role not in runs_by_role:
+    if len(arguments) != 1 or role not in runners_by_role:
         print("usage: python3 -m monsoonpier.platform balancer|agent", file=sys.stderr)
         return ExitStatus.BAD_INPUT
     try:
@@ -40,7 +40,7 @@
     configure_logs(level="info", descriptor=STDOUT, process=common.name, role=role)
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(runs_by_role[role](settings))
+            runner.run(runners_by_role[role](settings))
     except OSError as error:
         _log.error("startup failed", reason=str(error))
         return ExitStatus.UNAVAILABLE
--- a/monsoonpier/platform/packets.py
+++ b/monsoonpier/platform/packets.py
@@ -15,7 +15,7 @@
 _HEADER = struct.Struct("!BIHII4s4sHHI")
 _FLAGS_OFFSET = 0
 MAX_DATA_BYTES = 1_200
-MAX_KEPT_ADDRESSES = 4_096  # size of each cache
+MAX_CACHED_ADDRESSES = 4_096  # size of each cache
 
 # A flow carries HTTP/1.1. A response begins with its status line, and status 5xx
 # is a failure of the target.
@@ -23,8 +23,7 @@
 _STATUS_OFFSET = _HEADER.size + len(b"HTTP/1.1 ")
 _FAILURE_START = b"5"
 
-# Seconds since a caller's first SYN, by the number of retransmissions, which the
-# ``ack`` field of a SYN counts.
+# Seconds from a caller's first SYN to its n-th retransmission, from n = 0.
 _SYN_SECONDS = (0.0, 0.2, 0.6)
 
 _SYN = 32
@@ -65,7 +64,7 @@
             is_reset=bool(flags & _RST),
             is_returned=is_returned,
             is_failure=from_target and _is_failure(data),
-            waited=_syn_wait(acknowledged)
+            waited=_seconds_since_first_syn(acknowledged)
             if flags & _SYN and not flags & _ACK
             else 0.0,
         )
@@ -85,15 +84,16 @@
     return is_response and data.startswith(_FAILURE_START, _STATUS_OFFSET)
 
 
-def _syn_wait(retransmission: int) -> float:
+def _seconds_since_first_syn(retransmission: int) -> float:
+    """Return the caller's wait; a SYN's ``ack`` field counts its retransmissions."""
     return _SYN_SECONDS[min(retransmission, len(_SYN_SECONDS) - 1)]
 
 
-@lru_cache(maxsize=MAX_KEPT_ADDRESSES)
+@lru_cache(maxsize=MAX_CACHED_ADDRESSES)
 def _ip(raw: bytes) -> str:
     return inet_ntoa(raw)
 
 
-@lru_cache(maxsize=MAX_KEPT_ADDRESSES)
+@lru_cache(maxsize=MAX_CACHED_ADDRESSES)
 def _address(raw: bytes, port: int) -> Address:
     return Address(ip=inet_ntoa(raw), port=port)
--- a/monsoonpier/platform/settings.py
+++ b/monsoonpier/platform/settings.py
@@ -24,10 +24,10 @@
 
 
 class _Listen(msgspec.Struct, frozen=True, kw_only=True):
-    ready: str
-    datagram_addr: str
-    control: str | None = None
-    outbound: str | None = None
+    ready: str  # readiness probe
+    datagram_addr: str  # callers' packets
+    control: str | None = None  # the target's heartbeats
+    outbound: str | None = None  # the target's packets
 
 
 class _StoreSettings(msgspec.Struct, frozen=True, kw_only=True):
@@ -103,14 +103,14 @@
             file,
             role=role,
             keys=_load_keys(environment),
-            reserve_slots=_is_on(environment, RESERVE_VARIABLE),
+            reserve_slots=_parse_switch(environment, RESERVE_VARIABLE),
         )
     except (ValueError, msgspec.ValidationError) as error:
         raise ValueError(_explain(content, text, path, role, error)) from error
 
 
 def _explain(content: dict, text: str, path: str, role: str, error: Exception) -> str:
-    """Return all findings, one a line, or the error itself if there are none."""
+    """Return all findings, one a line, or the error's text if there are none."""
     # Imported here because only invalid settings need these modules.
     from monsoonpier.model.findings import report
     from monsoonpier.platform.settings_check import check_fields
@@ -163,7 +163,8 @@
     return Address.parse(text) if text else None
 
 
-def _is_on(environment: Mapping[str, str], variable: str) -> bool:
+def _parse_switch(environment: Mapping[str, str], variable: str) -> bool:
+    """Return whether a variable is ``on``; unset counts as ``off``."""
     match environment.get(variable, ""):
         case "" | "off":
             return False
--- a/monsoonpier/platform/settings_check.py
+++ b/monsoonpier/platform/settings_check.py
@@ -43,6 +43,7 @@
 
 
 def _address_problem(value: str) -> str:
+    """Return why an address is invalid, or an empty string if it is valid."""
     try:
         Address.parse(value)
     except ValueError as error:
--- a/monsoonpier/platform/store.py
+++ b/monsoonpier/platform/store.py
@@ -78,7 +78,7 @@
 
 
 class PlatformStore:
-    """A `Store` over the platform's HTTP calls; translates keys both ways."""
+    """A `Store` that makes the platform's HTTP calls and translates keys."""
 
     def __init__(self, *, address: Address, draw: random.Random) -> None:
         self._client = HttpClient(address=address)
@@ -107,7 +107,7 @@
             found = _parse(response, _RangeResult)
             revision = self._revision(response, found.current_rev)
             items = [i for i in found.items if prefix or i.key == wanted]
-            values = [_key_value(i, generation=revision.generation) for i in items]
+            values = [_decode_item(i, generation=revision.generation) for i in items]
             has_more = found.truncated and found.items
             return Page(
                 revision=revision,
@@ -127,8 +127,8 @@
         """Write ``puts`` and delete ``removes`` if all of ``compares`` hold."""
         if stale_keys := self._generations.stale_keys(compares):
             _log.info("stale condition rejected", keys=stale_keys)
-            ended = Revision(generation=self.generation)
-            return TransactionResult(succeeded=False, revision=ended)
+            current = Revision(generation=self.generation)
+            return TransactionResult(succeeded=False, revision=current)
         body = {
             "expect": [
                 {"key": _platform_key(c.key), "revision": c.mod_revision.number}
@@ -174,10 +174,10 @@
     async def watch(
         self, key: str, *, prefix: bool = False, from_revision: Revision
     ) -> AsyncIterator[WatchEvent]:
-        """Yield every change from a revision on; reconnect when interrupted.
+        """Yield every change at ``from_revision`` or later; reconnect when needed.
 
         Raises:
-            CompactedError: If the store has discarded changes since then.
+            CompactedError: If the store has discarded changes since that revision.
             RestoredError: If the store now has another generation, even if its
                 revision numbers have reached that revision again.
         """
@@ -187,7 +187,7 @@
         async def poll(after: int) -> PollResult:
             watched = await self._watch_once(wanted, after, generation)
             items = [i for i in watched.events if prefix or i.key == wanted]
-            events = [_watch_event(item, generation=generation) for item in items]
+            events = [_decode_event(item, generation=generation) for item in items]
             return PollResult(
                 events=tuple(filter(None, events)), number=watched.current_rev
             )
@@ -197,7 +197,7 @@
             yield event
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close the idle connections."""
         self._client.close()
 
     async def _watch_once(self, wanted: str, after: int, generation: int) -> _Changes:
@@ -217,12 +217,14 @@
             raise CompactedError("the revision to watch from has been compacted")
         return _parse(_require_ok(response, "kv-watch"), _Changes)
 
-    async def _get(self, call: str, query: dict) -> Response:
-        response = await self._call("GET", f"{_PATH}{call}?{urlencode(query)}")
-        return _require_ok(response, call)
+    async def _get(self, name: str, query: dict) -> Response:
+        """Make a GET call and require status 200."""
+        response = await self._call("GET", f"{_PATH}{name}?{urlencode(query)}")
+        return _require_ok(response, name)
 
-    async def _post(self, call: str, body: dict) -> Response:
-        return await self._call("POST", _PATH + call, body=msgspec.json.encode(body))
+    async def _post(self, name: str, body: dict) -> Response:
+        """Make a POST call and return the response, whatever its status."""
+        return await self._call("POST", _PATH + name, body=msgspec.json.encode(body))
 
     async def _call(
         self,
@@ -232,6 +234,7 @@
         body: bytes = b"",
         timeout: float = CALL_SECONDS,
     ) -> Response:
+        """Make one HTTP call; record its time and the store's generation."""
         self.calls += 1
         began = time.monotonic()
         try:
@@ -244,11 +247,15 @@
         return response
 
     def _revision(self, response: Response, number: int = 0) -> Revision:
+        """Return the revision ``number`` in the generation of a response."""
         return self._generations.revision(response.headers_by_name, number)
 
 
 def _platform_key(key: str, *, prefix: bool = False) -> str:
-    """Return the platform's name of a key."""
+    """Return the platform's key for a key of `monsoonpier.store.keys`.
+
+    As a prefix, the configuration's key covers the evacuations too.
+    """
     if key == CONFIGURATION:
         return _OPERATORS_PREFIX if prefix else _OPERATORS_KEY
     if key.startswith(EVACUATIONS):
@@ -256,7 +263,8 @@
     return key.removeprefix("/")
 
 
-def _project_key(key: str) -> str:
+def _internal_key(key: str) -> str:
+    """Return the key that `_platform_key` translates to ``key``."""
     if key == _OPERATORS_KEY:
         return CONFIGURATION
     if key.startswith(_EVACUATED_PREFIX):
@@ -264,9 +272,9 @@
     return f"/{key}"
 
 
-def _require_ok(response: Response, call: str) -> Response:
+def _require_ok(response: Response, name: str) -> Response:
     if response.status != 200:
-        raise StoreError(f"{call}: HTTP status {response.status}")
+        raise StoreError(f"{name}: HTTP status {response.status}")
     return response
 
 
@@ -277,10 +285,10 @@
         raise StoreError(f"the store's response is malformed: {error}") from error
 
 
-def _value(item: _Item) -> bytes | None:
+def _decode_value(item: _Item) -> bytes | None:
     """Return an item's decoded value, or ``None`` if it can't be decoded."""
     if item.key.startswith(_EVACUATED_PREFIX):
-        return b""  # In force while the key exists, whatever its value.
+        return b""  # An evacuation is in force while its key exists.
     try:
         return base64.b64decode(item.value, validate=True)
     except ValueError as error:
@@ -288,24 +296,24 @@
         return None
 
 
-def _key_value(item: _Item, *, generation: int) -> KeyValue | None:
-    value = _value(item)
+def _decode_item(item: _Item, *, generation: int) -> KeyValue | None:
+    value = _decode_value(item)
     if value is None:
         return None
     return KeyValue(
-        key=_project_key(item.key),
+        key=_internal_key(item.key),
         value=value,
         mod_revision=Revision(generation=generation, number=item.revision),
         lease=item.lease,
     )
 
 
-def _watch_event(item: _Item, *, generation: int) -> WatchEvent | None:
-    value = None if item.deleted else _value(item)
+def _decode_event(item: _Item, *, generation: int) -> WatchEvent | None:
+    value = None if item.deleted else _decode_value(item)
     if value is None and not item.deleted:
         return None
     return WatchEvent(
-        key=_project_key(item.key),
+        key=_internal_key(item.key),
         value=value,
         mod_revision=Revision(generation=generation, number=item.revision),
     )
--- a/monsoonpier/platform/targets.py
+++ b/monsoonpier/platform/targets.py
@@ -1,4 +1,4 @@
-"""HTTP calls from a target to its agent: heartbeat and leave."""
+"""HTTP calls that an agent receives from its target: heartbeat and leave."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 MAX_SLOTS = 65_536
 MAX_COLD_MS = 3_600_000  # one hour
 MAX_INTEGER = 2**53  # exact in JSON numbers that are read as doubles
-LOGGED_REFUSALS = 20  # rejections of one reason that are all logged
+LOGGED_REJECTIONS = 20  # rejections of one reason that are all logged
 LOGGED_EVERY = 100  # of the rejections after them, one in this many is logged
 
 _NonNegative = Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)]
@@ -48,7 +48,7 @@
 
 
 class TargetCalls:
-    """Decodes a target's calls and hands them to a handler.
+    """Decodes a target's calls and passes them to a handler.
 
     Args:
         service: The service of the agent's target; heartbeats that name another
@@ -72,12 +72,12 @@
             return Response(status=405)
         if request.path.startswith(_HEARTBEAT):
             identity = request.path.removeprefix(_HEARTBEAT)
-            return self._heartbeat(identity, request.body)
+            return self._handle_heartbeat(identity, request.body)
         if request.path.startswith(_LEAVE):
-            return self._leave(request.path.removeprefix(_LEAVE), request.body)
+            return self._handle_leave(request.path.removeprefix(_LEAVE), request.body)
         return Response(status=404)
 
-    def _heartbeat(self, identity: str, data: bytes) -> Response:
+    def _handle_heartbeat(self, identity: str, data: bytes) -> Response:
         try:
             body = msgspec.json.decode(data, type=_Heartbeat)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -86,28 +86,28 @@
             return self._reject("another service", identity, detail=body.service)
         if not _is_identity(identity):
             return self._reject("no identity", identity)
-        announcement = TargetHeartbeat(
+        heartbeat = TargetHeartbeat(
             run=TargetInstance(identity=identity, born_ms=body.born),
             is_draining=body.state == _DRAINING,
             slots=body.slots,
             cold_seconds=body.cold_remaining_ms / 1000,
             sequence=body.sequence,
         )
-        return _response(accepted=self._handler(announcement))
+        return _response(accepted=self._handler(heartbeat))
 
-    def _leave(self, identity: str, data: bytes) -> Response:
+    def _handle_leave(self, identity: str, data: bytes) -> Response:
         try:
             body = msgspec.json.decode(data or b"{}", type=_Leave)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             return self._reject("not a farewell", identity, detail=str(error))
-        left = LeaveNotice(run=TargetInstance(identity=identity, born_ms=body.born))
-        return _response(accepted=self._handler(left))
+        notice = LeaveNotice(run=TargetInstance(identity=identity, born_ms=body.born))
+        return _response(accepted=self._handler(notice))
 
     def _reject(self, reason: str, identity: str, *, detail: str = "") -> Response:
         """Count and log a rejected call; return status 400."""
         self.refused_by_reason[reason] += 1
         count = self.refused_by_reason[reason]
-        if count <= LOGGED_REFUSALS or count % LOGGED_EVERY == 0:
+        if count <= LOGGED_REJECTIONS or count % LOGGED_EVERY == 0:
             _log.warning(
                 "target's call rejected",
                 reason=reason,
--- a/monsoonpier/process/control.py
+++ b/monsoonpier/process/control.py
@@ -21,7 +21,7 @@
 
 __all__ = ["ControlServer", "NoResponseError", "handle_drain", "send_request"]
 
-ASK_SECONDS = 2.0  # default timeout of a request
+REQUEST_SECONDS = 2.0  # default timeout of a request
 HIGH_WATER_MARK = 100  # messages queued per connection
 _log = structlog.get_logger("monsoonpier.process.control")
 
@@ -33,7 +33,7 @@
 
 
 class ControlServer:
-    """Answers control requests on a ROUTER socket through a handler."""
+    """Serves control requests on a ROUTER socket through a handler."""
 
     def __init__(self, *, address: Address, keys: KeyRing, handler: Handler) -> None:
         self._address = address
@@ -90,7 +90,7 @@
 def handle_drain(
     request: DrainRequest, *, name: str, life: ProcessLifecycle
 ) -> DrainReply:
-    """Start the shutdown of this process if the request names it.
+    """Start to shut down this process if the request names it.
 
     Args:
         request: The operator's request.
@@ -99,7 +99,7 @@
     """
     if request.name != name:
         return DrainReply(accepted=False, reason="not this process")
-    # A second "terminate" event would stop a leaving process at once.
+    # A second "terminate" event would end a process before its shutdown is complete.
     if life.state != "leaving":
         life.step("terminate")
     return DrainReply(accepted=True)
@@ -110,7 +110,7 @@
     message: msgspec.Struct,
     *,
     keys: KeyRing,
-    timeout: float = ASK_SECONDS,
+    timeout: float = REQUEST_SECONDS,
 ) -> msgspec.Struct:
     """Send a request to a process and return its reply.
 
--- a/monsoonpier/process/exposition.py
+++ b/monsoonpier/process/exposition.py
@@ -43,12 +43,12 @@
         self._read = read
 
     def collect(self) -> Iterable[PrometheusMetric]:
-        return (_to_prometheus(reading) for reading in self._read())
+        return (_to_prometheus(metric) for metric in self._read())
 
 
-def _to_prometheus(reading: Metric) -> PrometheusMetric:
-    name = PREFIX + reading.name
-    match reading:
+def _to_prometheus(metric: Metric) -> PrometheusMetric:
+    name = PREFIX + metric.name
+    match metric:
         case Gauge(help=text, value=value):
             return GaugeMetricFamily(name, text, value=value)
         case Counter(help=text, values_by_label=values, label=label):
@@ -57,7 +57,7 @@
                 family.add_metric([str(key)], value)
             return family
         case Series(help=text, labels=labels, values_by_labels=values_by_labels):
-            kind = CounterMetricFamily if reading.is_counter else GaugeMetricFamily
+            kind = CounterMetricFamily if metric.is_counter else GaugeMetricFamily
             family = kind(name, text, labels=labels)
             for key, value in values_by_labels.items():
                 family.add_metric(key, value)
--- a/monsoonpier/process/lifecycle.py
+++ b/monsoonpier/process/lifecycle.py
@@ -51,7 +51,7 @@
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._terminate)
-        # SIGHUP would end the process without a handler. Changed settings take
+        # Without a handler, SIGHUP would end the process. Changed settings take
         # effect at the next start.
         loop.add_signal_handler(signal.SIGHUP, _log_changed_settings)
 
@@ -66,14 +66,15 @@
 
 
 async def run_until_shutdown(
-    leave: Callable[[], Awaitable[None]], jobs: Iterable[Callable[[], Awaitable[None]]]
+    shut_down: Callable[[], Awaitable[None]],
+    jobs: Iterable[Callable[[], Awaitable[None]]],
 ) -> None:
-    """Run jobs until ``leave`` returns or a job ends; then cancel the rest.
+    """Run jobs until ``shut_down`` returns or a job ends; then cancel the rest.
 
-    An exception of the first to end is raised.
+    If the first of them to end raised an exception, it is raised again here.
     """
     tasks = [asyncio.create_task(job()) for job in jobs]
-    leaving = asyncio.create_task(leave())
+    leaving = asyncio.create_task(shut_down())
     done, _ = await asyncio.wait([leaving, *tasks], return_when=asyncio.FIRST_COMPLETED)
     for task in (leaving, *tasks):
         task.cancel()
--- a/monsoonpier/process/logs.py
+++ b/monsoonpier/process/logs.py
@@ -17,16 +17,18 @@
     "format_flow",
 ]
 
-FLOOD_LIMIT = 40  # lines per event and period
+FLOOD_LIMIT = 40  # lines logged per event and period
 FLOOD_PERIOD_SECONDS = 10.0
 STDOUT = 1
 STDERR = 2
-MAX_LINE_BYTES = 4_096  # a pipe that is writable takes this without blocking (POSIX)
-MAX_KEPT_BYTES = 262_144  # queued while the reader is stalled; more is dropped
+MAX_LINE_BYTES = 4_096  # POSIX: a writable pipe accepts this without blocking
+MAX_QUEUED_BYTES = 262_144  # lines beyond this are dropped
 
 
 @dataclass(slots=True)
 class _Period:
+    """The lines of one event since the start of a period, logged or not."""
+
     began_at: float
     count: int = 0
 
@@ -42,7 +44,7 @@
         return self.limit(entry, now=time.monotonic())
 
     def limit(self, entry: dict, *, now: float) -> dict:
-        """Return the entry, with the number suppressed before it if any.
+        """Return the entry; add how many were suppressed in the last period, if any.
 
         Raises:
             structlog.DropEvent: If the event is over its limit.
@@ -72,8 +74,8 @@
 class LineWriter:
     """Writes lines to a file descriptor without blocking.
 
-    While the descriptor is not writable, lines are queued up to `MAX_KEPT_BYTES` and
-    then dropped, so that a stalled reader never blocks the process.
+    While the descriptor is not writable, up to `MAX_QUEUED_BYTES` of lines are queued
+    and further lines are dropped. Queued lines are written when the next line comes.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -85,9 +87,9 @@
         self.dropped = 0
 
     def msg(self, line: str) -> None:
-        """Write or queue one line, given without its line end."""
+        """Write or queue one line, given without its newline."""
         data = line.encode("utf-8", "replace")[: MAX_LINE_BYTES - 1] + b"\n"
-        if self._queued_bytes + len(data) > MAX_KEPT_BYTES:
+        if self._queued_bytes + len(data) > MAX_QUEUED_BYTES:
             self.dropped += 1
             return
         self._queued.append(data)
@@ -123,7 +125,14 @@
         self._limiter = LogRateLimiter()
 
     def note(self, event: str, *, now: float, flow: bytes = b"", **fields) -> None:
-        """Log a decision about a flow unless the event is over its limit."""
+        """Log a decision about a flow unless the event is over its limit.
+
+        Args:
+            event: The event's text.
+            now: The monotonic time in seconds.
+            flow: The flow's key, if any.
+            fields: Further fields of the line.
+        """
         suppressed = self._limiter.count(event, now=now)
         if suppressed is None:
             return
--- a/monsoonpier/process/metrics.py
+++ b/monsoonpier/process/metrics.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Gauge:
-    """A value that goes up and down."""
+    """A value that may rise and fall."""
 
     name: str
     help: str
@@ -31,7 +31,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Histogram:
-    """Durations in seconds, counted by bucket; the last bucket has no bound."""
+    """Durations in seconds, counted by bucket.
+
+    Attributes:
+        counts: The number of durations in each bucket; the last has no bound.
+        sums: A list of one number, the sum of all durations.
+    """
 
     name: str
     help: str
--- a/monsoonpier/process/registry.py
+++ b/monsoonpier/process/registry.py
@@ -16,7 +16,7 @@
 def registered_balancers(
     snapshot: Snapshot, *, codec: FrameCodec
 ) -> tuple[BalancerRecord, ...]:
-    """Return the valid balancer records; log and skip the others.
+    """Return the valid balancer records of a snapshot; log and skip the others.
 
     Args:
         snapshot: All keys with the prefix `BALANCERS`.
--- a/monsoonpier/process/udp.py
+++ b/monsoonpier/process/udp.py
@@ -14,7 +14,7 @@
 
 
 class UdpSocket(asyncio.DatagramProtocol):
-    """A UDP socket that counts bytes and ignores failures of single datagrams."""
+    """A UDP socket that counts bytes and ignores errors of single datagrams."""
 
     def __init__(self, receive: Receiver) -> None:
         self._receive = receive
--- a/monsoonpier/process/web.py
+++ b/monsoonpier/process/web.py
@@ -26,7 +26,7 @@
         self._server = HttpServer(address=address, handler=self.handle)
 
     async def start(self) -> None:
-        """Start to serve.
+        """Start serving.
 
         Raises:
             OSError: If the port is in use.
--- a/monsoonpier/store/backoff.py
+++ b/monsoonpier/store/backoff.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Backoff:
-    """The number of failed attempts, and the wait that follows from it."""
+    """The number of failed attempts, from which the next wait is computed."""
 
     initial_seconds: float = 0.1
     max_seconds: float = 5.0
@@ -21,6 +21,7 @@
 
     def after_failure(self) -> "Backoff":
         """Return the backoff with one more failed attempt."""
+        # The limit only keeps 2**attempts small.
         return replace(self, attempts=min(self.attempts + 1, 16))
 
     def after_success(self) -> "Backoff":
--- a/monsoonpier/store/etcd.py
+++ b/monsoonpier/store/etcd.py
@@ -32,8 +32,8 @@
 __all__ = ["EtcdStore"]
 
 CALL_SECONDS = 2.0  # timeout of one call
-WATCH_SILENCE_SECONDS = 60.0  # an idle watch is restarted after this
-MAX_LINE_BYTES = 4 * 1_048_576  # of one message in a watch stream
+WATCH_SILENCE_SECONDS = 60.0  # a watch without data is restarted after this
+MAX_LINE_BYTES = 4 * 1_048_576  # limit of one message in a watch stream
 _log = structlog.get_logger("monsoonpier.store.etcd")
 
 
@@ -65,9 +65,9 @@
         """Return the key, or all keys with that prefix."""
         body = _selector(key, prefix=prefix) | {"serializable": may_be_stale}
         response = await self._call("/v3/kv/range", body)
-        values = [_key_value(raw) for raw in response.get("kvs", [])]
+        values = [_decode_key_value(raw) for raw in response.get("kvs", [])]
         return Snapshot(
-            revision=_revision(response["header"]["revision"]),
+            revision=_decode_revision(response["header"]["revision"]),
             values_by_key={value.key: value for value in values},
         )
 
@@ -106,7 +106,7 @@
         response = await self._call("/v3/kv/txn", body)
         return TransactionResult(
             succeeded=bool(response.get("succeeded")),
-            revision=_revision(response["header"]["revision"]),
+            revision=_decode_revision(response["header"]["revision"]),
         )
 
     async def grant(self, *, ttl_seconds: int) -> int:
@@ -129,11 +129,12 @@
     async def watch(
         self, key: str, *, prefix: bool = False, from_revision: Revision
     ) -> AsyncIterator[WatchEvent]:
-        """Yield every change from a revision on; reconnect when interrupted.
+        """Yield every change at ``from_revision`` or later; reconnect when needed.
 
         Raises:
             CompactedError: If the store has discarded changes since that
-                revision. Read the key again and watch from there.
+                revision. Callers must read the key again and watch from the
+                snapshot's revision.
         """
         backoff = Backoff()
         revision = from_revision.number
@@ -172,7 +173,7 @@
             total=None, sock_connect=self._call_seconds, sock_read=WATCH_SILENCE_SECONDS
         )
         self.calls += 1
-        async with self._client().post(
+        async with self._get_session().post(
             self._url("/v3/watch"), json={"create_request": request}, timeout=timeout
         ) as response:
             if response.status != 200:
@@ -180,13 +181,13 @@
             async for line in response.content:
                 if not line.strip():
                     continue
-                result = _parse(line).get("result", {})
+                result = _parse_json(line).get("result", {})
                 if int(result.get("compact_revision", 0)):
                     raise CompactedError(
                         "the revision to watch from has been compacted"
                     )
                 for raw in result.get("events", []):
-                    yield _watch_event(raw)
+                    yield _decode_watch_event(raw)
 
     async def _call(self, path: str, body: dict) -> dict:
         failure = "no address"
@@ -206,18 +207,19 @@
 
     async def _call_once(self, path: str, body: dict) -> dict:
         timeout = aiohttp.ClientTimeout(total=self._call_seconds)
-        async with self._client().post(
+        async with self._get_session().post(
             self._url(path), json=body, timeout=timeout
         ) as response:
             text = await response.read()
             if response.status == 200:
-                return _parse(text)
-            message = _parse(text).get("message", "") if text else ""
+                return _parse_json(text)
+            message = _parse_json(text).get("message", "") if text else ""
             if "lease not found" in message:
                 raise LeaseNotFoundError(message)
             raise StoreError(f"{path}: HTTP status {response.status} {message}")
 
-    def _client(self) -> aiohttp.ClientSession:
+    def _get_session(self) -> aiohttp.ClientSession:
+        """Return the HTTP session; create it on first use."""
         if self._session is None:
             self._session = aiohttp.ClientSession(read_bufsize=MAX_LINE_BYTES)
         return self._session
@@ -229,7 +231,7 @@
         self._address_index = (self._address_index + 1) % len(self._addresses)
 
 
-def _parse(text: bytes) -> dict:
+def _parse_json(text: bytes) -> dict:
     try:
         content = json.loads(text)
     except ValueError as error:
@@ -250,21 +252,21 @@
     return selector
 
 
-def _revision(raw: str) -> Revision:
+def _decode_revision(raw: str) -> Revision:
     return Revision(number=int(raw))
 
 
-def _key_value(raw: dict) -> KeyValue:
+def _decode_key_value(raw: dict) -> KeyValue:
     return KeyValue(
         key=base64.b64decode(raw["key"]).decode(),
         value=base64.b64decode(raw.get("value", "")),
-        mod_revision=_revision(raw["mod_revision"]),
+        mod_revision=_decode_revision(raw["mod_revision"]),
         lease=int(raw.get("lease", 0)),
     )
 
 
-def _watch_event(raw: dict) -> WatchEvent:
-    value = _key_value(raw["kv"])
+def _decode_watch_event(raw: dict) -> WatchEvent:
+    value = _decode_key_value(raw["kv"])
     deleted = raw.get("type") == "DELETE"
     return WatchEvent(
         key=value.key,
--- a/monsoonpier/store/generation.py
+++ b/monsoonpier/store/generation.py
@@ -37,10 +37,9 @@
             )
 
     def revision(self, headers_by_name: Mapping[str, str], number: int = 0) -> Revision:
-        """Return a revision in the generation of a response.
+        """Return the revision ``number`` in the generation that a response reports.
 
-        A delayed response may belong to an earlier generation. Without a valid header
-        the newest generation is assumed.
+        If the response has no valid header, the newest generation is used.
         """
         reported = self._generation_in(headers_by_name)
         generation = self.newest if reported is None else reported
@@ -49,7 +48,7 @@
     def stale_keys(self, compares: Iterable[Compare]) -> list[str]:
         """Return the keys whose conditions refer to an earlier generation.
 
-        Since then the store may have reused their revision numbers.
+        The store may have reused the revision numbers of these conditions.
         """
         return [
             compare.key
--- a/monsoonpier/store/interface.py
+++ b/monsoonpier/store/interface.py
@@ -38,9 +38,10 @@
 
 
 class RestoredError(CompactedError):
-    """The store was restored from a backup after the watch's revision.
+    """The store was restored from a backup since the revision to watch from.
 
-    It reuses revision numbers for other changes, so the watch can't continue.
+    A restored store reuses revision numbers for other changes, so the watch can't
+    continue.
     """
 
 
@@ -77,7 +78,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TransactionResult:
-    """Whether the conditions held, so that the writes took effect."""
+    """The result of a transaction.
+
+    Attributes:
+        succeeded: Whether all conditions held, so that the writes took effect.
+        revision: The revision of the writes. If they did not take effect, only its
+            generation is meaningful.
+    """
 
     succeeded: bool
     revision: Revision
@@ -107,8 +114,8 @@
 class Store(Protocol):
     """The operations of the key-value store; each may raise `StoreError`.
 
-    Revisions carry the generation of the response that they came with, so that a
-    delayed response of an earlier generation never compares as newer.
+    Each revision includes the generation that the store had when it responded, so
+    revisions from before a restore always compare as older.
     """
 
     @property
@@ -147,10 +154,10 @@
     def watch(
         self, key: str, *, prefix: bool = False, from_revision: Revision
     ) -> AsyncIterator[WatchEvent]:
-        """Yield every change from a revision on; reconnect when interrupted.
+        """Yield every change at ``from_revision`` or later; reconnect when needed.
 
         Raises:
-            CompactedError: If the store has discarded changes since then.
+            CompactedError: If the store has discarded changes since that revision.
             RestoredError: If the store now has another generation.
         """
 
--- a/monsoonpier/store/keys.py
+++ b/monsoonpier/store/keys.py
@@ -12,7 +12,7 @@
 
 PREFIX = "/monsoonpier/"
 CONFIGURATION = PREFIX + "configuration"
-# Below the configuration's key, so that one read and one watch cover both.
+# Under the configuration's key, so that one read and one watch cover both.
 EVACUATIONS = CONFIGURATION + "/evacuations/"
 CONFIGURATION_COPY = PREFIX + "copies/configuration"
 AUDIT = PREFIX + "audit/"
--- a/monsoonpier/store/lease.py
+++ b/monsoonpier/store/lease.py
@@ -6,15 +6,15 @@
 
 __all__ = ["Lease"]
 
-SAFETY_SHARE = 0.1  # fraction of the term subtracted to allow for clock drift
+SAFETY_SHARE = 0.1  # fraction of the TTL subtracted to allow for clock drift
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Lease:
     """The lease's state in ``charts/lease.toml`` and its expiry (monotonic time).
 
-    The term is counted from before the request was sent. The store starts its own
-    count later, so the holder stops acting before the store expires the lease.
+    The expiry is computed from the time at which the request was sent. The store
+    counts from when it receives the request, so the holder stops acting first.
     """
 
     id: int = 0
@@ -26,13 +26,13 @@
         return load_chart("lease").has(self.at(now=now).state, "may_act")
 
     def at(self, *, now: float) -> "Lease":
-        """Return the lease as of ``now``: expired if its term has passed."""
+        """Return the lease as of ``now``: expired if ``expires_at`` has passed."""
         if now < self.expires_at:
             return self
         return self._step("ran_out")
 
     def granted(self, lease: int, *, ttl_seconds: float, asked_at: float) -> "Lease":
-        """Return the lease after a grant; its term counts from the request."""
+        """Return the lease after a grant that was requested at ``asked_at``."""
         expires_at = asked_at + ttl_seconds * (1 - SAFETY_SHARE)
         return replace(self._step("granted"), id=lease, expires_at=expires_at)
 
@@ -45,7 +45,7 @@
         return replace(after, expires_at=asked_at + ttl_seconds * (1 - SAFETY_SHARE))
 
     def renewal_failed(self) -> "Lease":
-        """Return the lease after a renewal that got no response."""
+        """Return the lease after a renewal that failed without a response."""
         return self._step("renewal_failed")
 
     def lost(self) -> "Lease":
--- a/monsoonpier/store/long_poll.py
+++ b/monsoonpier/store/long_poll.py
@@ -1,4 +1,4 @@
-"""A watch by long polling that retries failed calls."""
+"""Watching of a key by long polling, with retries of failed calls."""
 
 import asyncio
 import random
@@ -31,12 +31,12 @@
     after: int,
     draw: random.Random,
 ) -> AsyncIterator[WatchEvent]:
-    """Yield the changes that each call returns, and poll again after them.
+    """Poll in a loop and yield the changes that each call returns.
 
     Args:
         poll: Waits for changes after a revision number.
         key: The watched key, for the log.
-        after: The revision number after which to begin.
+        after: The revision number after which the watch begins.
         draw: The random generator for the jitter of retries.
 
     Raises:
--- a/monsoonpier/store/paging.py
+++ b/monsoonpier/store/paging.py
@@ -23,8 +23,8 @@
 async def read_pages(read_page: Callable[[str], Awaitable[Page]]) -> Snapshot:
     """Read all pages and return their values with the first page's revision.
 
-    Pages are read at different revisions; only the first one's is valid for all of
-    them.
+    Pages are read at different revisions. A watch from the first page's revision
+    misses no change in any of them.
 
     Args:
         read_page: Returns the page that begins after a key.
--- a/tests/link/test_schedule.py
+++ b/tests/link/test_schedule.py
@@ -44,7 +44,7 @@
         self.assertEqual(arrived, WINDOW - 5)
 
     def test_none_is_lost(self) -> None:
-        """With pacing, all 16 arrive in order, in the time that the link needs."""
+        """With pacing, all 16 arrive in order, as fast as the link can send them."""
         for rate in RATES:
             with self.subTest(rate=rate):
                 arrived, link, _ = send_over(window(), rate=rate)
@@ -135,7 +135,7 @@
 class DropTests(unittest.TestCase):
     """Drops when the queues are full."""
 
-    def test_control_is_kept(self) -> None:
+    def test_control_is_not_dropped(self) -> None:
         """Heartbeats arrive without delay while flows' packets are dropped."""
         heartbeats = [
             SentDatagram(at=n * 0.1, size=90, number=n, urgency=Urgency.CONTROL)
--- a/tests/process/test_logs.py
+++ b/tests/process/test_logs.py
@@ -6,8 +6,8 @@
 from monsoonpier.process.logs import (
     FLOOD_LIMIT,
     FLOOD_PERIOD_SECONDS,
-    MAX_KEPT_BYTES,
     MAX_LINE_BYTES,
+    MAX_QUEUED_BYTES,
     DecisionLog,
     LineWriter,
     LogRateLimiter,
@@ -37,7 +37,7 @@
             text += os.read(self.reader, 65_536)
             self.writer.msg("again")
         received = text.count(line.encode() + b"\n")
-        self.assertGreater(received, MAX_KEPT_BYTES // 1_000)
+        self.assertGreater(received, MAX_QUEUED_BYTES // 1_000)
         self.assertGreaterEqual(received + self.writer.dropped, 2_000)
 
     def test_long_line(self) -> None:
--- a/tests/store/test_contract.py
+++ b/tests/store/test_contract.py
@@ -121,9 +121,9 @@
         await asyncio.wait_for(following, 10)
         self.assertEqual(seen, [b"%d" % n for n in range(6)])
 
-    async def test_lost_answer(self):
+    async def test_lost_response(self):
         """A lost response raises `StoreError` although the write took effect."""
-        await self.lose_answers(1)
+        await self.lose_responses(1)
         with self.assertRaises(StoreError):
             await self.put(KEY, b"taken")
         found = await self.store.read(KEY)
@@ -142,8 +142,8 @@
         await self.store.read(KEY)
 
 
-class _ReturnContract:
-    """Tests of a store restored from a backup; subclasses set both up."""
+class _RestoreContract:
+    """Tests of a store restored from a backup; subclasses set both attributes."""
 
     store: Store
     restorable: RestorableStore
@@ -163,7 +163,7 @@
         return lost, before.revision
 
     async def test_reused_revision_numbers(self):
-        """A condition on a lost write fails though its revision number is reused."""
+        """A condition on a lost write fails even if the revision number is reused."""
         lost, _ = await self._restore_backup()
         found = (await self.store.read(KEY)).values_by_key[KEY]
         self.assertEqual(found.mod_revision.number, lost.revision.number)
@@ -177,7 +177,7 @@
         self.assertTrue(result.succeeded)
 
     async def test_watch_from_before_a_restore(self):
-        """A watch from before a restore fails though its revision number is reused."""
+        """A watch from before a restore fails even if revision numbers are reused."""
         for later in (0, 5):
             _, before = await self._restore_backup()
             for number in range(later):
@@ -187,7 +187,7 @@
                 await asyncio.wait_for(anext(watch), 5)
 
 
-class FakeTests(_Contract, _ReturnContract, unittest.IsolatedAsyncioTestCase):
+class FakeTests(_Contract, _RestoreContract, unittest.IsolatedAsyncioTestCase):
     """The in-memory fake."""
 
     async def asyncSetUp(self) -> None:
@@ -197,7 +197,7 @@
     async def interrupt_watches(self) -> None:
         """Do nothing: the fake has no connections."""
 
-    async def lose_answers(self, count: int) -> None:
+    async def lose_responses(self, count: int) -> None:
         """Lose the responses to the next ``count`` writes."""
         self.store.lost_answers = count
 
@@ -215,7 +215,7 @@
     return runner, site._server.sockets[0].getsockname()[1]
 
 
-class PlatformStoreTests(_Contract, _ReturnContract, unittest.IsolatedAsyncioTestCase):
+class PlatformStoreTests(_Contract, _RestoreContract, unittest.IsolatedAsyncioTestCase):
     """`PlatformStore` against the simulated platform store."""
 
     async def asyncSetUp(self) -> None:
@@ -235,7 +235,7 @@
         await asyncio.sleep(0.05)
         self.stand_in.faults.is_down = False
 
-    async def lose_answers(self, count: int) -> None:
+    async def lose_responses(self, count: int) -> None:
         """Lose the responses to all writes from now on."""
         self.stand_in.faults.lost_share = 1.0
 
@@ -244,7 +244,7 @@
         self.stand_in.faults.is_down = down
 
     async def test_operators_key(self) -> None:
-        """The operator's key is read and watched under this project's name."""
+        """The platform's key `op/config` is read and watched as `CONFIGURATION`."""
         revision = self.stand_in.put("op/config", b"v1")
         found = await self.store.read(CONFIGURATION)
         self.assertEqual(found.values_by_key[CONFIGURATION].value, b"v1")
@@ -414,7 +414,7 @@
         for watch in list(self.stand_in._watches):
             watch.transport.abort()
 
-    async def lose_answers(self, count: int) -> None:
+    async def lose_responses(self, count: int) -> None:
         """Lose the responses to the next ``count`` writes."""
         self.stand_in._lose_answers = count
 
