--- a/tests/link/test_schedule.py
+++ b/tests/link/test_schedule.py
@@ -66,7 +66,9 @@
 
     SECONDS = 2.0
 
-    def load(self, rate: float, *, share: float, seed: int = 3) -> list[SentDatagram]:
+    def traffic(
+        self, rate: float, *, share: float, seed: int = 3
+    ) -> list[SentDatagram]:
         """Return windows that take ``share`` of the link's rate, and small packets."""
         draw = random.Random(seed)
         count = int(share * rate * self.SECONDS / 8 / (WINDOW * PACKET_BYTES))
@@ -87,7 +89,7 @@
         """Under twice the link's rate, small packets wait at most 20 ms."""
         for rate in RATES[:-1]:
             with self.subTest(rate=rate):
-                sent = self.load(rate, share=2.0)
+                sent = self.traffic(rate, share=2.0)
                 arrived, _, _ = send_over(sent, rate=rate)
                 waits = [a.waited for a in arrived if a.size == SMALL]
                 wanted = sum(one.size == SMALL for one in sent)
@@ -99,7 +101,7 @@
         """Under twice the link's rate, the link is 90 % used and loses nothing."""
         for rate in RATES[:-1]:
             with self.subTest(rate=rate):
-                arrived, link, _ = send_over(self.load(rate, share=2.0), rate=rate)
+                arrived, link, _ = send_over(self.traffic(rate, share=2.0), rate=rate)
                 self.assertEqual(link.queue_drops, 0)
                 seconds = max(a.at for a in arrived)
                 used = 8 * link.carried_bytes / rate / seconds
--- a/tests/process/test_failures.py
+++ b/tests/process/test_failures.py
@@ -51,10 +51,10 @@
     async def _finish(self, load: Load, deployment: Deployment) -> None:
         """Stop the load and check that no guarantee was violated."""
         await load.stop()
-        judgement = evaluate(load, deployment.runs())
+        load_result = evaluate(load, deployment.runs())
         self.assertEqual(load.errors, [])
-        self.assertTrue(judgement.is_clean, f"{judgement} {load.count_failures()}")
-        self.assertGreater(judgement.requests, 10)
+        self.assertTrue(load_result.is_clean, f"{load_result} {load.count_failures()}")
+        self.assertGreater(load_result.requests, 10)
 
 
 class BalancerFailureTests(_Case):
@@ -121,12 +121,12 @@
     """Agents that are killed, suspended and drained."""
 
     async def test_killed_and_replaced_at_the_same_address(self):
-        """A request whose agent was killed may have run, so it is not repeated."""
+        """A request whose agent was killed may have run, so it is not retried."""
         deployment = await self._start("127.83.4", maps=1)
         await deployment.set_target_faults("maps-1", slow_factor=100.0)
         load = self._load(deployment)
         async with Caller(deployment.address("maps")) as caller:
-            asking = asyncio.create_task(
+            pending = asyncio.create_task(
                 load.send_request(caller, "maps", "top-up", deadline=15.0)
             )
             while not deployment.runs():
@@ -136,14 +136,14 @@
             await node.wait()
             await deployment.set_target_faults("maps-1", slow_factor=1.0)
             await deployment.start_agent("maps-1", "maps")
-            outcome = await asking
+            outcome = await pending
             self.assertIsInstance(outcome, FlowLost | Unknown | Late)
             await deployment.wait_ready("maps-1")
             again = await load.send_request(caller, "maps", "top-up", deadline=10.0)
             self.assertIsInstance(again, Done)
-        judgement = evaluate(load, deployment.runs())
-        self.assertEqual(judgement.ran_twice, 0)
-        self.assertEqual(judgement.false_not_run, 0)
+        load_result = evaluate(load, deployment.runs())
+        self.assertEqual(load_result.ran_twice, 0)
+        self.assertEqual(load_result.false_not_run, 0)
         self.assertEqual(len(deployment.runs()), 2)
 
     async def test_suspended_and_resumed(self):
@@ -158,15 +158,15 @@
         node.signal(signal.SIGCONT)
         await asyncio.sleep(1.0)
         await load.stop()
-        judgement = evaluate(load, deployment.runs())
-        self.assertEqual(judgement.ran_twice, 0)
-        self.assertEqual(judgement.false_not_run, 0)
-        self.assertEqual(judgement.wrong_service, 0)
+        load_result = evaluate(load, deployment.runs())
+        self.assertEqual(load_result.ran_twice, 0)
+        self.assertEqual(load_result.false_not_run, 0)
+        self.assertEqual(load_result.wrong_service, 0)
         self.assertEqual(load.errors, [])
         self.assertFalse([s.faults for s in load.streams if s.faults])
 
     async def test_drain(self):
-        """A drained target soon gets no new work and finishes what it has."""
+        """A drained target gets no new work after 3 s and finishes its requests."""
         deployment = await self._start("127.83.6", maps=2)
         load = self._load(deployment)
         load.start(streams=10, readers=8, uploaders=0)
@@ -190,7 +190,10 @@
     """Outages and restores of the platform's store, and concurrent changes."""
 
     async def test_outage_and_restore(self):
-        """New processes learn from peers in an outage; a restore reverts nothing."""
+        """In an outage new processes get the configuration from peers.
+
+        A restore to an empty store does not revert the configuration.
+        """
         deployment = await self._start("127.83.7")
         folder = str(deployment.write_services(queue_per_slot=5))
         status, _, err = await deployment.run_operator_command(
@@ -235,7 +238,7 @@
         return list(found.values_by_key)
 
     async def test_lost_responses_and_concurrent_changes(self):
-        """Lost responses are resolved; of two concurrent changes one is accepted."""
+        """A change with a lost response succeeds; of two concurrent ones, one does."""
         deployment = Deployment(net="127.83.8")
         await self.enterAsyncContext(deployment)
         await deployment.start_platform()
@@ -276,8 +279,8 @@
                     for operator, who in zip(operators, ("ana", "ben"), strict=True)
                 )
             )
-            kinds = sorted(type(outcome).__name__ for outcome in outcomes)
-            self.assertEqual(kinds, ["Accepted", "Conflict"])
+            names = sorted(type(outcome).__name__ for outcome in outcomes)
+            self.assertEqual(names, ["Accepted", "Conflict"])
         self.assertEqual(len(await read_audit(operators[0])), before + RACES)
         for operator in operators:
             await operator.close()
@@ -341,7 +344,7 @@
         deployment = await self._start("127.83.11", balancers=1, maps=1)
         await deployment.set_target_faults("maps-1", slow_factor=1000.0)
         async with Caller(deployment.address("maps")) as caller:
-            asking = asyncio.create_task(caller.request("top-up", b"maps 1 answer=0"))
+            pending = asyncio.create_task(caller.request("top-up", b"maps 1 answer=0"))
             while not deployment.runs():
                 await asyncio.sleep(0.05)
             node = deployment.nodes_by_name["maps-1"]
@@ -350,5 +353,5 @@
             self.assertIsNone(node.process.returncode)
             node.signal(signal.SIGTERM)
             self.assertEqual(await node.wait(5.0), ExitStatus.INTERRUPTED)
-            asking.cancel()
-            await asyncio.gather(asking, return_exceptions=True)
+            pending.cancel()
+            await asyncio.gather(pending, return_exceptions=True)
--- a/tests/store/test_contract.py
+++ b/tests/store/test_contract.py
@@ -394,7 +394,7 @@
         self.assertEqual(len(found.values_by_key), 1_100)
 
 
-class ClientTests(_Contract, unittest.IsolatedAsyncioTestCase):
+class EtcdStoreTests(_Contract, unittest.IsolatedAsyncioTestCase):
     """`EtcdStore` against a simulated etcd; the first address does not respond."""
 
     async def asyncSetUp(self) -> None:
--- a/tests/store/test_lease.py
+++ b/tests/store/test_lease.py
@@ -9,33 +9,33 @@
 class LeaseTests(unittest.TestCase):
     """A holder must not act after its lease has expired."""
 
-    def _held(self) -> Lease:
+    def _grant(self) -> Lease:
         return Lease().granted(7, ttl_seconds=30, asked_at=100.0)
 
-    def test_acts_within_the_term_only(self):
+    def test_stops_before_expiry(self):
         """The holder stops acting before the store expires the lease."""
-        lease = self._held()
+        lease = self._grant()
         self.assertTrue(lease.may_act(now=126.0))
         self.assertFalse(lease.may_act(now=127.0))
 
     def test_renewal_after_expiry(self):
         """A renewal that succeeds after the lease expired does not revive it."""
-        lease = self._held()
+        lease = self._grant()
         late = lease.renewed(ttl_seconds=30, asked_at=126.0, now=140.0)
         self.assertFalse(late.may_act(now=140.0))
         again = late.granted(8, ttl_seconds=30, asked_at=141.0)
         self.assertTrue(again.may_act(now=142.0))
 
     def test_failed_renewal(self):
-        """A renewal without a response leaves the remaining term."""
-        lease = self._held().renewal_failed()
+        """A renewal without a response does not change the expiry."""
+        lease = self._grant().renewal_failed()
         self.assertEqual(lease.state, "doubtful")
         self.assertTrue(lease.may_act(now=110.0))
         self.assertFalse(lease.may_act(now=130.0))
 
     def test_lost(self):
         """A lease that the store reports as ended can't be used."""
-        self.assertFalse(self._held().lost().may_act(now=101.0))
+        self.assertFalse(self._grant().lost().may_act(now=101.0))
 
 
 class ChartTests(unittest.TestCase):
