--- a/monsoonpier/platform/store.py
+++ b/monsoonpier/platform/store.py
@@ -34,7 +34,7 @@
 
 CALL_SECONDS = 2.0  # timeout of one call
 # Longest wait of one watch call. If its response is lost, the watch misses changes
-# for this long; a new configuration must be in force within 3 s.
+# for this long; a new configuration must take effect within 3 s.
 WATCH_SECONDS = 2.0
 WATCH_SLACK_SECONDS = 0.75  # for the response after WATCH_SECONDS
 _PATH = "/monsoonpier/"
@@ -288,7 +288,7 @@
 def _decode_value(item: _Item) -> bytes | None:
     """Return an item's decoded value, or ``None`` if it can't be decoded."""
     if item.key.startswith(_EVACUATED_PREFIX):
-        return b""  # An evacuation is in force while its key exists.
+        return b""  # An evacuation is in effect while its key exists.
     try:
         return base64.b64decode(item.value, validate=True)
     except ValueError as error:
--- a/tests/store/test_contract.py
+++ b/tests/store/test_contract.py
@@ -269,7 +269,7 @@
     async def test_configuration_and_evacuations(self) -> None:
         """One read and one watch cover the configuration and the evacuations.
 
-        An evacuation is in force while its key exists, whatever its value.
+        An evacuation is in effect while its key exists, whatever its value.
         """
         self.stand_in.put("op/config", b"v1")
         revision = self.stand_in.put("op/evacuate/hall-1", b"{}")
