--- a/bench/demo.py
+++ b/bench/demo.py
@@ -180,7 +180,7 @@
 
 
 def _imbalance(runs: list[dict], since: float, until: float) -> float:
-    """Return the most runs of a map target over the mean."""
+    """Return the maximum over mean of the runs per map target."""
     counts = Counter(
         run["target"]
         for run in runs
--- a/bench/link_use.py
+++ b/bench/link_use.py
@@ -64,12 +64,12 @@
 
 def _cost() -> dict:
     without_rate = _microseconds(LinkSender(bits_per_second=None))
-    with_room = _microseconds(LinkSender(bits_per_second=1e15))
+    below_rate = _microseconds(LinkSender(bits_per_second=1e15))
     return {
         "measure": "link_cost",
         "calls": COST_CALLS,
         "microseconds_without_rate": round(without_rate, 3),
-        "microseconds_with_room": round(with_room, 3),
+        "microseconds_with_room": round(below_rate, 3),
     }
 
 
--- a/bench/packet_capacity.py
+++ b/bench/packet_capacity.py
@@ -152,7 +152,7 @@
     return _micros(run, REPEATS)
 
 
-def bytes_a_flow() -> dict[int, int]:
+def bytes_by_flows() -> dict[int, int]:
     """Return a balancer's memory in bytes by the number of flows."""
     found = {}
     for flows in FLOWS:
@@ -169,7 +169,7 @@
     return found
 
 
-def bytes_a_target() -> dict[int, int]:
+def bytes_by_targets() -> dict[int, int]:
     """Return a balancer's memory in bytes by the number of targets."""
     found = {}
     for targets in TABLE_SIZES:
@@ -214,8 +214,8 @@
                 "agent_packet_us": round(agent_packet(), 1),
                 "new_flow_us_by_targets": {n: round(new_flow(n)) for n in TARGETS},
                 "load_report_us": round(load_report(50), 1),
-                "bytes_by_flows": bytes_a_flow(),
-                "bytes_by_targets": bytes_a_target(),
+                "bytes_by_flows": bytes_by_flows(),
+                "bytes_by_targets": bytes_by_targets(),
             }
         )
     )
--- a/bench/packet_demo.py
+++ b/bench/packet_demo.py
@@ -15,30 +15,36 @@
 MAPS = 4
 LOGS = 2
 STEADY_SECONDS = 2.0
-NARROW, NARROW_MEGABITS = "lb-2", 5.0  # a balancer with a slow link
+SLOW_LINK_BALANCER, SLOW_LINK_MEGABITS = "lb-2", 5.0
 DRAIN_SECONDS = 2.0  # a draining target closes flows after their next response
 
 
-async def run_packet_demo(say: Callable[[str], None]) -> dict:
-    """Run it; return counts by name, of which all but requests must be 0.
+async def run_packet_demo(report_progress: Callable[[str], None]) -> dict:
+    """Run the demo; return its counts and whether no guarantee was violated.
 
     Args:
-        say: Reports progress.
+        report_progress: Called with a text at each stage.
     """
     async with PacketDeployment(net=NET, seed=1) as deployment:
         await _start(deployment)
         load = PacketLoad(deployment=deployment, seed=2)
         load.start(readers=20, writers=6, uploaders=2)
-        say(f"the link of {NARROW} carries {NARROW_MEGABITS:g} Mbit/s")
-        say("20 callers with long flows, 6 with a flow per request, 2 upload")
+        report_progress(
+            f"the link of {SLOW_LINK_BALANCER} carries {SLOW_LINK_MEGABITS:g} Mbit/s"
+        )
+        report_progress(
+            "20 callers with long flows, 6 with a flow per request, 2 upload"
+        )
         await asyncio.sleep(STEADY_SECONDS)
-        say("all balancers and all map targets are replaced")
+        report_progress("all balancers and all map targets are replaced")
         await asyncio.gather(_replace_balancers(deployment), _replace_maps(deployment))
-        say("the store fails; all balancers but one and the map agents are killed")
+        report_progress(
+            "the store fails; all balancers but one and the map agents are killed"
+        )
         await _kill(deployment)
         await asyncio.sleep(STEADY_SECONDS)
         result = await load.stop()
-        say(f"{dict(load.counts)} {dict(load.reasons)}")
+        report_progress(f"{dict(load.counts)} {dict(load.reasons)}")
         return asdict(result) | {"is_clean": result.is_clean}
 
 
@@ -66,7 +72,7 @@
 
 
 async def _start_balancer(deployment: PacketDeployment, name: str) -> None:
-    megabits = NARROW_MEGABITS if name == NARROW else None
+    megabits = SLOW_LINK_MEGABITS if name == SLOW_LINK_BALANCER else None
     await deployment.start_balancer(name, link_megabits=megabits)
 
 
--- a/bench/packet_placement.py
+++ b/bench/packet_placement.py
@@ -34,12 +34,12 @@
     return sorted(untried, key=lambda c: c.record.name)
 
 
-def _random(simulation, query, candidates, draw):
+def _choose_random(simulation, query, candidates, draw):
     untried = _untried(query, candidates)
     return Chosen(record=draw.choice(untried).record) if untried else _no_target()
 
 
-def _least_of_two(simulation, query, candidates, draw):
+def _choose_less_loaded_of_two(simulation, query, candidates, draw):
     untried = _untried(query, candidates)
     if not untried:
         return _no_target()
@@ -47,7 +47,7 @@
     return Chosen(record=min(drawn, key=lambda c: c.work + c.sent_since).record)
 
 
-def _round_robin():
+def _make_round_robin():
     turns = itertools.count()
 
     def choose(simulation, query, candidates, draw):
@@ -61,13 +61,14 @@
     return choose
 
 
-def _full_knowledge(simulation, query, candidates, draw):
+def _choose_with_full_knowledge(simulation, query, candidates, draw):
     """Choose by the current state of the targets, which no real balancer can know."""
     untried = _untried(query, candidates)
     if not untried:
         return _no_target()
 
     def cost(candidate: Candidate) -> float:
+        """Estimate the response time in service times, with a penalty for failures."""
         number = int(candidate.record.name.rpartition("-")[2])
         target = simulation.targets[number]
         fault = simulation.fault_of(target)
@@ -76,7 +77,7 @@
         flows = query.long_share * candidate.placed / simulation.world.slots
         return (runs + flows / 4) * fault.slow_ratio + 10 * fault.failure_share
 
-    draw.shuffle(untried)
+    draw.shuffle(untried)  # breaks ties at random
     return Chosen(record=min(untried, key=cost).record)
 
 
@@ -92,11 +93,11 @@
         case "product without evidence":
             return Simulation(world, sees_failures=False).run()
         case "full knowledge":
-            return Simulation(world, choose=_full_knowledge).run()
+            return Simulation(world, choose=_choose_with_full_knowledge).run()
     choose_by_policy = {
-        "random": _random,
-        "least of two": _least_of_two,
-        "round robin": _round_robin(),
+        "random": _choose_random,
+        "least of two": _choose_less_loaded_of_two,
+        "round robin": _make_round_robin(),
     }
     return Simulation(world, choose=choose_by_policy[policy], refuses=False).run()
 
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -137,7 +137,7 @@
     reports: int = 0
 
     def update_area(self, now: float) -> None:
-        """Add the work in progress since the last call to ``area``."""
+        """Integrate the work in progress up to ``now``."""
         self.area += (self.running + len(self.queue)) * (now - self.changed_at)
         self.changed_at = now
 
@@ -269,6 +269,7 @@
         return self.targets[int(choice.record.name.split("-")[1]) - 1]
 
     def _true_wait(self, target: _Target) -> tuple[float, float]:
+        """Return the target's work over its speed, and a random tie-breaker."""
         wait = (target.running + len(target.queue) + 1) / target.speed
         return wait, self._draw.random()
 
--- a/bench/policy_bound.py
+++ b/bench/policy_bound.py
@@ -81,8 +81,8 @@
     for step in range(steps):
         now = step * STEP_SECONDS
         if not outage.at - outage.run_seconds <= now:
-            continue
-        if _cannot_be_in_time(outage, now):
+            continue  # the request ends before the outage
+        if _misses_latency_target(outage, now):
             score_by_step[step] = 0.0
             backlog.append(step)
         if now < outage.up_at:
@@ -98,7 +98,8 @@
     return _result(outage, score_by_step)
 
 
-def _cannot_be_in_time(outage: Outage, now: float) -> bool:
+def _misses_latency_target(outage: Outage, now: float) -> bool:
+    """Return whether a request sent at ``now`` can't meet its latency target."""
     run = outage.run_seconds * outage.cold_ratio
     return now + outage.aim_seconds < outage.up_at + run
 
--- a/bench/running.py
+++ b/bench/running.py
@@ -229,21 +229,25 @@
     deployment = await _start("127.84.4", maps=10)
     try:
         names = ["b1", "b2", "b3", "maps-9", "maps-10"]
-        before = await _control(deployment, names)
+        before = await _control_bytes_by_name(deployment, names)
         await asyncio.sleep(IDLE_SECONDS)
-        after = await _control(deployment, names)
+        after = await _control_bytes_by_name(deployment, names)
         yield _rate_figure("idle", before, after, IDLE_SECONDS)
         started_at = time.monotonic()
         for number in range(1, 6):
             await deployment.start_pair(f"maps-{10 + number}", "maps")
             await deployment.shut_down_pair(f"maps-{number}")
         seconds = time.monotonic() - started_at
-        yield _rate_figure("rollout", after, await _control(deployment, names), seconds)
+        yield _rate_figure(
+            "rollout", after, await _control_bytes_by_name(deployment, names), seconds
+        )
     finally:
         await deployment.__aexit__()
 
 
-async def _control(deployment: Deployment, names: list[str]) -> dict[str, float]:
+async def _control_bytes_by_name(
+    deployment: Deployment, names: list[str]
+) -> dict[str, float]:
     prefix = "monsoonpier_control_bytes_total"
     totals = {}
     for name in names:
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -37,7 +37,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Step:
-    """A fault of ``subject`` from ``at`` on, for ``seconds``."""
+    """A fault to inject.
+
+    Attributes:
+        at: Its start, in seconds from the start of the plan.
+        kind: A key of `_subjects_by_kind`.
+        subject: The process or other part that it affects.
+        seconds: Its duration.
+    """
 
     at: float
     kind: str
@@ -47,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
-    """The faults of a seed."""
+    """The faults of a seed; `EDITION` describes the editions."""
 
     seed: int
     edition: int
@@ -56,7 +63,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Report:
-    """The result of a seed; ``broken`` names the violated guarantees."""
+    """The result of a seed.
+
+    Attributes:
+        verdict: Counts of the load.
+        broken: Names of the violated guarantees.
+        reasons: Counts of failures by their cause.
+        timeline: When each fault began and ended; log lines if a guarantee is violated.
+    """
 
     plan: Plan
     verdict: PacketLoadResult
@@ -74,8 +88,8 @@
     while at < seconds:
         kind = draw.choice(list(subjects_by_kind))
         subject = draw.choice(subjects_by_kind[kind])
-        lasts = draw.uniform(0.2, 3.0)
-        steps.append(Step(at=at, kind=kind, subject=subject, seconds=lasts))
+        duration = draw.uniform(0.2, 3.0)
+        steps.append(Step(at=at, kind=kind, subject=subject, seconds=duration))
         at += draw.uniform(0.1, 2.0)
     return Plan(seed=seed, edition=edition, steps=tuple(steps))
 
@@ -117,7 +131,7 @@
 @dataclass(kw_only=True)
 class _Soak:
     deployment: PacketDeployment
-    began: float = field(default_factory=time.monotonic)
+    started_at: float = field(default_factory=time.monotonic)
     timeline: list[str] = field(default_factory=list)
     _busy: set[str] = field(default_factory=set)
 
@@ -144,19 +158,20 @@
             await self._link_fault(step)
         else:
             await handlers.get(step.kind, self._store_fault)(step)
-        self._log(f"{step.kind} {step.subject} over")
+        self._log(f"{step.kind} {step.subject} ended")
 
     def _log(self, text: str) -> None:
-        self.timeline.append(f"{time.monotonic() - self.began:7.2f} {text}")
+        self.timeline.append(f"{time.monotonic() - self.started_at:7.2f} {text}")
 
     def _reserve(self, name: str) -> bool:
-        """Reserve a process for a step; return whether no other step has it."""
+        """Reserve a process for a step; return ``False`` if another step uses it."""
         if name in self._busy:
             return False
         self._busy.add(name)
         return True
 
     async def _kill(self, step: Step) -> None:
+        """Kill a process and start it again after the step's duration."""
         if not self._reserve(step.subject):
             return
         node = self.deployment.nodes_by_name[step.subject]
@@ -202,13 +217,14 @@
         self._busy.discard(f"target {step.subject}")
 
     async def _kill_all(self, step: Step) -> None:
+        """Kill all processes and start them again at once, with the store available."""
         names = [n for n in self.deployment.nodes_by_name if self._reserve(n)]
         nodes = [self.deployment.nodes_by_name[name] for name in names]
         for node in nodes:
             node.signal(signal.SIGKILL)
         await asyncio.gather(*(node.wait() for node in nodes))
         if self.deployment.store.faults.is_down or self.deployment.store.faults.status:
-            self._log("the store is down too: restoring it")
+            self._log("the store is down too: its faults are cleared")
             _clear_store_faults(self.deployment.store.faults)
         await asyncio.gather(*(self._start(name) for name in names))
 
@@ -274,7 +290,7 @@
 
 
 async def run_seed(seed: int, *, seconds: float, edition: int = EDITION) -> Report:
-    """Run one seed and return its report."""
+    """Inject a seed's faults into a loaded deployment and check the guarantees."""
     plan = make_plan(seed, seconds=seconds, edition=edition)
     net = f"127.90.{seed % NETS}"
     has_proxies = edition > 1
@@ -293,7 +309,7 @@
             links.clear()
         broken = await _check_recovery(deployment, load)
         result = await load.stop()
-        broken += [name for name, count in _violations(result).items() if count]
+        broken += [name for name, count in _violation_counts(result).items() if count]
         if broken:
             soak.timeline += _relevant_log_lines(deployment)
         return Report(
@@ -337,7 +353,7 @@
     return broken
 
 
-def _violations(result: PacketLoadResult) -> dict[str, int]:
+def _violation_counts(result: PacketLoadResult) -> dict[str, int]:
     fields = asdict(result)
     return {k: v for k, v in fields.items() if k not in ("requests", "failed")}
 
--- a/standins/deployment.py
+++ b/standins/deployment.py
@@ -154,10 +154,14 @@
             **settings,
         )
 
-    async def start_pair(self, name: str, service: str, *options: str, **more) -> Node:
-        """Start a target and its agent; return the agent."""
-        await self.start_target(name, service, *options, slots=more.get("slots", 3))
-        return await self.start_agent(name, service, **more)
+    async def start_pair(
+        self, name: str, service: str, *options: str, **agent_options
+    ) -> Node:
+        """Start a target with ``options``, and its agent; return the agent."""
+        await self.start_target(
+            name, service, *options, slots=agent_options.get("slots", 3)
+        )
+        return await self.start_agent(name, service, **agent_options)
 
     async def shut_down_pair(self, name: str) -> int:
         """Shut down an agent, then its target; return the agent's exit status."""
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -130,7 +130,7 @@
                 send()
 
     async def _run_health_checks(self) -> None:
-        """Check the readiness of balancers, which excludes those that fail."""
+        """Check balancers' readiness at an interval; those that fail are excluded."""
         timeout = aiohttp.ClientTimeout(total=0.5)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
--- a/standins/fake_store.py
+++ b/standins/fake_store.py
@@ -46,7 +46,7 @@
         self, key: str, *, prefix: bool = False, may_be_stale: bool = False
     ) -> Snapshot:
         """Return the key, or all keys that begin with it."""
-        self._check()
+        self._raise_if_down()
         self.generation = self.store.generation
         return self.store.read(
             key, end=range_end(key, prefix=prefix), now=self._clock()
@@ -60,8 +60,9 @@
         removes: tuple[str, ...] = (),
     ) -> TransactionResult:
         """Write ``puts`` and delete ``removes`` if all of ``compares`` hold."""
-        self._check()
-        # A client learns of a restored store only from a later response.
+        self._raise_if_down()
+        # Like a client, compare with the latest generation seen, which may lag behind
+        # the store's.
         if any(self._is_outdated(compare.mod_revision) for compare in compares):
             return TransactionResult(succeeded=False, revision=self.store.revision)
         self.generation = self.store.generation
@@ -78,13 +79,13 @@
 
     async def grant(self, *, ttl_seconds: int) -> int:
         """Grant a lease and return its id."""
-        self._check()
+        self._raise_if_down()
         self.generation = self.store.generation
         return self.store.grant(ttl_seconds=ttl_seconds, now=self._clock())
 
     async def renew(self, lease: int) -> int:
         """Renew a lease and return its time to live in seconds."""
-        self._check()
+        self._raise_if_down()
         self.generation = self.store.generation
         ttl = self.store.renew(lease, now=self._clock())
         if not ttl:
@@ -93,7 +94,7 @@
 
     async def revoke(self, lease: int) -> None:
         """End a lease; its keys are deleted."""
-        self._check()
+        self._raise_if_down()
         try:
             self.store.revoke(lease)
         except KeyError as error:
@@ -102,7 +103,11 @@
     async def watch(
         self, key: str, *, prefix: bool = False, from_revision: Revision
     ) -> AsyncIterator[WatchEvent]:
-        """Yield changes from that revision on; resume after an outage."""
+        """Yield changes from that revision on; resume after an outage.
+
+        Raises:
+            RestoredError: If the store was restored since.
+        """
         since = from_revision.number
         end = range_end(key, prefix=prefix)
         while True:
@@ -121,6 +126,6 @@
     def _is_outdated(self, revision: Revision) -> bool:
         return bool(revision.number) and revision.generation < self.generation
 
-    def _check(self) -> None:
+    def _raise_if_down(self) -> None:
         if self.is_down:
             raise StoreError("the platform is down")
--- a/standins/packets/caller.py
+++ b/standins/packets/caller.py
@@ -54,7 +54,7 @@
     _next_port: int = 20_000
 
     def start(self) -> None:
-        """Bind the socket.
+        """Bind the socket and start the retransmission timer.
 
         Raises:
             OSError: If the port is in use.
@@ -68,7 +68,7 @@
         self._timer_task = asyncio.create_task(self._run_timer())
 
     def close(self) -> None:
-        """Close the socket."""
+        """Stop the timer and close the socket."""
         self._timer_task.cancel()
         asyncio.get_running_loop().remove_reader(self._socket)
         self._socket.close()
@@ -242,10 +242,10 @@
             self._stream = Stream(
                 own=self.own,
                 peer=self.peer,
-                sent=(self._initial_sequence + 1) % (1 << 32),
-                received=(segment.sequence + 1) % (1 << 32),
+                next_sequence=(self._initial_sequence + 1) % (1 << 32),
+                expected_sequence=(segment.sequence + 1) % (1 << 32),
             )
-        elif self._stream.received != (segment.sequence + 1) % (1 << 32):
+        elif self._stream.expected_sequence != (segment.sequence + 1) % (1 << 32):
             return  # another target's SYN-ACK for a retransmitted SYN
         acknowledged = (segment.sequence + 1) % (1 << 32)
         self.caller.send([self._segment(ACK, acknowledged=acknowledged)])
--- a/standins/packets/deployment.py
+++ b/standins/packets/deployment.py
@@ -37,7 +37,7 @@
 
 
 class Links:
-    """The proxies of one process: to the store and to its target.
+    """Proxies between a process and the store, and between an agent and its target.
 
     Attributes:
         store: Proxy to the store.
--- a/standins/packets/simulation.py
+++ b/standins/packets/simulation.py
@@ -94,8 +94,8 @@
         aim_seconds, timeout_seconds: Latency target and timeout of the route.
         bursts: (from, until, ratio): periods with a higher request rate.
         outage: (from, until): power loss that restarts all processes.
-        starts: (first, last): bounds of the time from the end of the outage until
-            a process has started.
+        starts: (shortest, longest): bounds of a process's start time after the
+            outage.
         cold_seconds, cold_ratio: Duration and factor of the targets' slowdown
             after the outage.
         caller_latency_seconds: One-way latency between a VM and a caller.
@@ -135,18 +135,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Outcome:
-    """Results of a simulation; request results are shares of all requests.
+    """Results of a simulation; shares are of the requests after the warm-up.
 
     Attributes:
         in_time: Share with a response within the latency target.
         served: Share with a response within the timeout.
         score: Mean score.
         failed_attempt_share: Share with a failed attempt.
-        reports: Number of separate load updates; those in other frames don't count.
-        imbalance: Most runs of a target over the mean.
-        late_syn_share: Share of SYNs delivered to targets after the flow opened or was
-            given up.
-        remote_share: Share of placements outside the balancer's data centre.
+        mean_seconds: Mean time from a request's first attempt to its response.
+        resets: Number of resets that balancers sent.
+        reports: Number of frames that carry only a load update.
+        imbalance: Maximum over mean of the runs per target.
+        late_syn_share: Of the SYNs delivered to targets, the share whose flow was
+            already open or given up.
+        remote_share: Of the placements, the share outside the balancer's data centre.
     """
 
     requests: int
@@ -262,7 +264,7 @@
 
     def _begin_outage(self) -> None:
         self._is_in_outage = True
-        # Pending events of the old targets check for them in this list.
+        # Pending events of a target that is not in this list have no effect.
         self.targets = []
 
     def _end_outage(self) -> None:
@@ -376,7 +378,7 @@
 
     @property
     def _imbalance(self) -> float:
-        """Return the most runs of a target over the mean."""
+        """Maximum over mean of the runs per target."""
         runs = [self._runs_by_target[number] for number in range(self.world.targets)]
         return max(runs) * len(runs) / max(1, sum(runs))
 
@@ -399,7 +401,7 @@
         return [sum(late) / max(1, len(late)) for late in by_data_centre]
 
     def in_time_between(self, since: float, until: float) -> float:
-        """Return the share of requests sent in a period with a response in time."""
+        """Return the share of a period's requests that met the latency target."""
         sent = [r for r in self._requests if since <= r.first_attempt_at < until]
         return sum(self._score(r) == 1.0 for r in sent) / len(sent)
 
@@ -497,7 +499,10 @@
             self._handle_failure(flow)
 
     def _handle_failure(self, flow: _Flow) -> None:
-        """Retry the flow's request on a new flow; reopen long flows in the warm-up."""
+        """Close a failed flow and retry its request on a new one.
+
+        In the warm-up, a long flow without a request is reopened later.
+        """
         flow.is_closed = True
         request = flow.request
         if flow.is_long:
--- a/standins/packets/store.py
+++ b/standins/packets/store.py
@@ -65,9 +65,9 @@
         app.router.add_get(PREFIX + "kv-range", self._range)
         app.router.add_get(PREFIX + "kv-watch", self._watch)
         app.router.add_post(PREFIX + "kv-txn", self._txn)
-        app.router.add_post(PREFIX + "kv-lease", self._lease)
-        app.router.add_post(PREFIX + "kv-keep/{id}", self._keep)
-        app.router.add_delete(PREFIX + "kv-lease-end/{id}", self._end)
+        app.router.add_post(PREFIX + "kv-lease", self._grant_lease)
+        app.router.add_post(PREFIX + "kv-keep/{id}", self._renew_lease)
+        app.router.add_delete(PREFIX + "kv-lease-end/{id}", self._revoke_lease)
         app.router.add_post("/standin/put", self._operator_put)
         app.router.add_post("/standin/remove", self._operator_remove)
         app.router.add_post("/standin/faults", self._set_faults)
@@ -205,18 +205,18 @@
         items = [_item(found[c.key]) for c in compares if c.key in found]
         return web.json_response({"items": items}, status=412)
 
-    async def _lease(self, request: web.Request) -> web.Response:
+    async def _grant_lease(self, request: web.Request) -> web.Response:
         ttl_ms = (await request.json())["ttl_ms"]
         lease = self.store.grant(ttl_seconds=ttl_ms // 1000, now=_now())
         return web.json_response({"lease": lease, "ttl_ms": ttl_ms})
 
-    async def _keep(self, request: web.Request) -> web.Response:
+    async def _renew_lease(self, request: web.Request) -> web.Response:
         ttl = self.store.renew(int(request.match_info["id"]), now=_now())
         if not ttl:
             return web.Response(status=404)
         return web.json_response({"ttl_ms": ttl * 1000})
 
-    async def _end(self, request: web.Request) -> web.Response:
+    async def _revoke_lease(self, request: web.Request) -> web.Response:
         try:
             self.store.revoke(int(request.match_info["id"]))
         except KeyError:
--- a/standins/packets/stream.py
+++ b/standins/packets/stream.py
@@ -18,8 +18,8 @@
 
     Attributes:
         own, peer: Both ends as (ip, port).
-        sent: Next sequence number to send.
-        received: Next sequence number expected from the peer.
+        next_sequence: Sequence number after all data queued so far.
+        expected_sequence: Next sequence number expected from the peer.
         inbox: Data received in order and not yet consumed.
         has_peer_fin: Whether the peer has closed its direction.
         has_fin: Whether this end has closed its direction.
@@ -28,8 +28,8 @@
 
     own: tuple[str, int]
     peer: tuple[str, int]
-    sent: int
-    received: int
+    next_sequence: int
+    expected_sequence: int
     inbox: bytearray = field(default_factory=bytearray)
     has_peer_fin: bool = False
     has_fin: bool = False
@@ -47,20 +47,21 @@
         if fin:
             self.has_fin = True
             self._queue(b"", FIN)
-        return self._fill(now=now)
+        return self._send_queued(now=now)
 
     def _queue(self, data: bytes, flags: int) -> None:
         segment = Segment(
             flags=ACK | flags,
             source=self.own,
             destination=self.peer,
-            sequence=self.sent,
+            sequence=self.next_sequence,
             data=data,
         )
         self._unsent.append(segment)
-        self.sent = (self.sent + _length(segment)) % SEQUENCE_MODULUS
+        self.next_sequence = (self.next_sequence + _length(segment)) % SEQUENCE_MODULUS
 
-    def _fill(self, *, now: float) -> list[Segment]:
+    def _send_queued(self, *, now: float) -> list[Segment]:
+        """Return the queued packets that the window permits to send."""
         out = []
         while self._unsent and len(self._in_flight) < WINDOW:
             segment = self._unsent.pop(0)
@@ -78,14 +79,16 @@
             self._resend_seconds = FIRST_RESEND_SECONDS
             self._resend_at = now + self._resend_seconds
             self.resends = 0
-        out = self._fill(now=now)
+        out = self._send_queued(now=now)
         if _length(segment):
             self._out_of_order.setdefault(segment.sequence, segment)
             while (
-                following := self._out_of_order.pop(self.received, None)
+                following := self._out_of_order.pop(self.expected_sequence, None)
             ) is not None:
                 self.inbox += following.data
-                self.received = (self.received + _length(following)) % SEQUENCE_MODULUS
+                self.expected_sequence = (
+                    self.expected_sequence + _length(following)
+                ) % SEQUENCE_MODULUS
                 self.has_peer_fin |= bool(following.flags & FIN)
             if not out:
                 out.append(self._acknowledgement())
@@ -106,7 +109,7 @@
             source=segment.source,
             destination=segment.destination,
             sequence=segment.sequence,
-            acknowledged=self.received,
+            acknowledged=self.expected_sequence,
             data=segment.data,
         )
 
@@ -115,8 +118,8 @@
             flags=ACK,
             source=self.own,
             destination=self.peer,
-            sequence=self.sent,
-            acknowledged=self.received,
+            sequence=self.next_sequence,
+            acknowledged=self.expected_sequence,
         )
 
 
--- a/standins/packets/target.py
+++ b/standins/packets/target.py
@@ -30,7 +30,7 @@
 
 @dataclass(kw_only=True)
 class PacketTarget:
-    r"""Runs requests and counts them.
+    r"""Accepts flows, runs their requests and counts the runs.
 
     A request is ``id size work_ms response_size\n`` and ``size`` bytes of body. Its
     response is ``id instance response_size\n`` and that many bytes of body.
@@ -71,7 +71,7 @@
         self._socket = raw
         app = web.Application()
         app.router.add_get("/health", self._health)
-        app.router.add_get("/standin/runs", self._runs)
+        app.router.add_get("/standin/runs", self._get_runs)
         app.router.add_post("/standin/drain", self._drain)
         runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
         await runner.setup()
@@ -94,7 +94,7 @@
     async def _health(self, request: web.Request) -> web.Response:
         return web.Response(status=503 if self.is_draining else 200)
 
-    async def _runs(self, request: web.Request) -> web.Response:
+    async def _get_runs(self, request: web.Request) -> web.Response:
         body = {
             "instance": self.instance,
             "runs": self.runs_by_id,
@@ -197,8 +197,8 @@
         stream = Stream(
             own=segment.destination,
             peer=segment.source,
-            sent=(initial_sequence + 1) % (1 << 32),
-            received=(segment.sequence + 1) % (1 << 32),
+            next_sequence=(initial_sequence + 1) % (1 << 32),
+            expected_sequence=(segment.sequence + 1) % (1 << 32),
         )
         return _Flow(stream=stream, initial_sequence=initial_sequence)
 
--- a/standins/packets/wire.py
+++ b/standins/packets/wire.py
@@ -30,9 +30,9 @@
 
     def encode(self) -> bytes:
         """Encode the packet."""
-        return self._head(_checksum(self)) + self.data
+        return self._encode_header(_checksum(self)) + self.data
 
-    def _head(self, checksum: int) -> bytes:
+    def _encode_header(self, checksum: int) -> bytes:
         return struct.pack(
             _LAYOUT,
             self.flags,
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -80,7 +80,7 @@
         return web.json_response(self.calls_by_path)
 
     async def _range(self, request: web.Request) -> web.Response:
-        key, end = _range_of(await request.json())
+        key, end = _parse_range(await request.json())
         snapshot = self.store.read(key, end=end, now=_now())
         kvs = [_kv_json(value) for value in snapshot.values_by_key.values()]
         return web.json_response(
@@ -91,14 +91,14 @@
         body = await request.json()
         compares = tuple(
             Compare(
-                key=_text(raw["key"]),
+                key=_decode_text(raw["key"]),
                 mod_revision=Revision(number=int(raw.get("mod_revision", 0))),
             )
             for raw in body.get("compare", [])
         )
         puts = tuple(
             Put(
-                key=_text(raw["request_put"]["key"]),
+                key=_decode_text(raw["request_put"]["key"]),
                 value=base64.b64decode(raw["request_put"]["value"]),
                 lease=int(raw["request_put"].get("lease", 0)),
             )
@@ -106,7 +106,7 @@
             if "request_put" in raw
         )
         removes = tuple(
-            _text(raw["request_delete_range"]["key"])
+            _decode_text(raw["request_delete_range"]["key"])
             for raw in body.get("success", [])
             if "request_delete_range" in raw
         )
@@ -136,7 +136,7 @@
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
         create = (await request.json())["create_request"]
-        key, end = _range_of(create)
+        key, end = _parse_range(create)
         since = int(create.get("start_revision", 0)) or self.store.number + 1
         response = web.StreamResponse()
         await response.prepare(request)
@@ -177,23 +177,24 @@
     return time.monotonic()
 
 
-def _text(raw: str) -> str:
+def _decode_text(raw: str) -> str:
     return base64.b64decode(raw).decode()
 
 
-def _range_of(body: dict) -> tuple[str, bytes | None]:
+def _parse_range(body: dict) -> tuple[str, bytes | None]:
+    """Return the key and the range's end in the body of a request."""
     raw = body.get("range_end")
-    return _text(body["key"]), base64.b64decode(raw) if raw else None
+    return _decode_text(body["key"]), base64.b64decode(raw) if raw else None
 
 
-def _b64(raw: bytes) -> str:
+def _encode_base64(raw: bytes) -> str:
     return base64.b64encode(raw).decode()
 
 
 def _kv_json(value: KeyValue) -> dict:
     return {
-        "key": _b64(value.key.encode()),
-        "value": _b64(value.value),
+        "key": _encode_base64(value.key.encode()),
+        "value": _encode_base64(value.value),
         "mod_revision": str(value.mod_revision.number),
         "lease": str(value.lease),
     }
@@ -201,8 +202,8 @@
 
 def _event_json(event: WatchEvent) -> dict:
     kv = {
-        "key": _b64(event.key.encode()),
-        "value": _b64(event.value or b""),
+        "key": _encode_base64(event.key.encode()),
+        "value": _encode_base64(event.value or b""),
         "mod_revision": str(event.mod_revision.number),
     }
     return {"type": "DELETE" if event.value is None else "PUT", "kv": kv}
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Node:
-    """A process started by `spawn`."""
+    """A running or exited process of a deployment, and its IP address and log file."""
 
     name: str
     ip: str
--- a/standins/target.py
+++ b/standins/target.py
@@ -16,16 +16,16 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Behaviour:
+class TargetFaults:
     """Faults of the target, set by ``POST /standin/faults``.
 
     Attributes:
         slow_factor: Factor on the service time.
-        drain: Reports that it is draining.
+        drain: Whether health checks report that it is draining.
         shed_seconds: Rejects requests with this ``Retry-After``, unless 0.
-        mute: Never responds to requests.
-        lie_healthy: Reports that it is healthy.
-        lie_load: Reports this number of running requests.
+        mute: Whether requests get no response.
+        lie_healthy: Whether health checks succeed.
+        lie_load: Number of running requests to report instead of the true one.
         cut_answers: How many of the next responses are aborted.
     """
 
@@ -62,7 +62,7 @@
         self._records = records.open("a", buffering=1) if records else None
         self._running = 0
         self._streams = 0
-        self.behaviour = Behaviour()
+        self.faults = TargetFaults()
         self.runs: list[dict] = []
 
     def application(self) -> web.Application:
@@ -78,11 +78,11 @@
 
     async def _work(self, request: web.Request) -> web.Response:
         body = await request.read()
-        behaviour = self.behaviour
-        if behaviour.shed_seconds:
-            retry = str(behaviour.shed_seconds)
+        faults = self.faults
+        if faults.shed_seconds:
+            retry = str(faults.shed_seconds)
             return web.Response(status=503, headers={"Retry-After": retry})
-        if behaviour.mute:
+        if faults.mute:
             await asyncio.sleep(3600)
         tag = body.split(b"\n", 1)[0].decode(errors="replace")
         self._record(request.match_info["kind"], tag)
@@ -92,13 +92,13 @@
                 await asyncio.sleep(self._service_seconds(request))
         finally:
             self._running -= 1
-        if behaviour.cut_answers:
-            behaviour.cut_answers -= 1
+        if faults.cut_answers:
+            faults.cut_answers -= 1
             request.transport.abort()
         return web.Response(body=_response_body(self._service, tag, request))
 
     def _service_seconds(self, request: web.Request) -> float:
-        seconds = self._work_seconds * self.behaviour.slow_factor
+        seconds = self._work_seconds * self.faults.slow_factor
         seconds = float(request.headers.get("X-Work-Seconds", seconds))
         if self._cold:
             age = time.monotonic() - self._started
@@ -129,23 +129,23 @@
             self._streams -= 1
 
     async def _health(self, request: web.Request) -> web.Response:
-        if self.behaviour.drain:
+        if self.faults.drain:
             return web.Response(text="draining")
-        if not self.behaviour.lie_healthy:
+        if not self.faults.lie_healthy:
             return web.Response(status=500, text="ill")
         return web.Response(text="healthy")
 
     async def _load(self, request: web.Request) -> web.Response:
-        running = self.behaviour.lie_load
+        running = self.faults.lie_load
         if running is None:
             running = self._running
         return web.json_response({"running": running, "streams": self._streams})
 
     async def _set_faults(self, request: web.Request) -> web.Response:
         for name, value in (await request.json()).items():
-            if not hasattr(self.behaviour, name):
+            if not hasattr(self.faults, name):
                 return web.json_response({"unknown": name}, status=400)
-            setattr(self.behaviour, name, value)
+            setattr(self.faults, name, value)
         return web.json_response({"ok": True})
 
     async def _get_runs(self, request: web.Request) -> web.Response:
@@ -153,7 +153,10 @@
 
 
 def _response_body(service: str, tag: str, request: web.Request) -> bytes:
-    """Return a body that the caller can verify by service, tag and size."""
+    """Return a body of the size that the tag asks for by ``answer=BYTES``.
+
+    It begins with the service and the tag, which the caller verifies.
+    """
     size = 0
     for word in tag.split():
         if word.startswith("answer="):
