--- a/bench/packet_capacity.py
+++ b/bench/packet_capacity.py
@@ -57,7 +57,7 @@
     )
 
 
-def _steering(targets: int) -> tuple[PacketSteering, Membership]:
+def _create_steering(targets: int) -> tuple[PacketSteering, Membership]:
     own = BalancerRecord(
         name="lb-1",
         data_centre="dc-1",
@@ -78,19 +78,19 @@
     return PacketSteering(membership=membership, log=log), membership
 
 
-def _raw(number: int, flags: int = ACK, size: int = 200) -> bytes:
+def _encode_packet(number: int, flags: int = ACK, size: int = 200) -> bytes:
     source = (f"100.64.{number // 50_000}.7", 10_000 + number % 50_000)
     data = b"x" * (0 if flags == SYN else size)
     return Segment(flags=flags, source=source, destination=SERVICE, data=data).encode()
 
 
-def _packet(raw: bytes) -> Packet:
+def _decode_packet(raw: bytes) -> Packet:
     packet = CODEC.decode(raw, from_target=False)
     assert isinstance(packet, Packet)
     return packet
 
 
-def _micros(run: Callable[[int], None], count: int) -> float:
+def _mean_microseconds(run: Callable[[int], None], count: int) -> float:
     """Return the mean processor time of ``count`` calls in microseconds."""
     gc.collect()
     started_at = time.process_time()
@@ -99,7 +99,7 @@
     return (time.process_time() - started_at) / count * 1e6
 
 
-def _encode(actions: list) -> None:
+def _encode_frames(actions: list) -> None:
     for action in actions:
         if isinstance(action, ToAgent):
             FRAMES.encode(action.frame)
@@ -107,34 +107,36 @@
 
 def forwarded_packet() -> float:
     """Return a balancer's cost of a packet of an open flow in microseconds."""
-    steering, _ = _steering(15)
-    flow = _packet(_raw(1)).flow
+    steering, _ = _create_steering(15)
+    flow = _decode_packet(_encode_packet(1)).flow
     load = LoadReport(number=2, condition=Condition.SERVING)
     owned = FlowOwned(flow=flow, agent="side-brum-a-3", load=load, is_open=True)
     steering.from_process(owned, None, sender=("", 0), now=100.0, draw=DRAW)
-    raw = _raw(1)
+    raw = _encode_packet(1)
 
     def run(_: int) -> None:
-        packet = _packet(raw)
-        _encode(steering.from_caller(packet, now=100.0, draw=DRAW))
+        packet = _decode_packet(raw)
+        _encode_frames(steering.from_caller(packet, now=100.0, draw=DRAW))
 
-    return _micros(run, 20_000)
+    return _mean_microseconds(run, 20_000)
 
 
 def new_flow(targets: int) -> float:
     """Return a balancer's cost of a SYN in microseconds."""
-    steering, _ = _steering(targets)
-    raws = [_raw(number, SYN) for number in range(REPEATS)]
+    steering, _ = _create_steering(targets)
+    raws = [_encode_packet(number, SYN) for number in range(REPEATS)]
 
     def run(number: int) -> None:
-        _encode(steering.from_caller(_packet(raws[number]), now=100.0, draw=DRAW))
+        _encode_frames(
+            steering.from_caller(_decode_packet(raws[number]), now=100.0, draw=DRAW)
+        )
 
-    return _micros(run, REPEATS)
+    return _mean_microseconds(run, REPEATS)
 
 
 def load_report(targets: int) -> float:
     """Return a balancer's cost of a load report in microseconds."""
-    steering, _ = _steering(targets)
+    steering, _ = _create_steering(targets)
     load = LoadReport(number=0, in_flight=1, condition=Condition.SERVING)
     data = [
         FRAMES.encode(
@@ -149,14 +151,14 @@
         sender = (record.ip, record.port)
         steering.from_process(frame, None, sender=sender, now=100.0, draw=DRAW)
 
-    return _micros(run, REPEATS)
+    return _mean_microseconds(run, REPEATS)
 
 
 def bytes_by_flows() -> dict[int, int]:
     """Return a balancer's memory in bytes by the number of flows."""
     found = {}
     for flows in FLOWS:
-        steering, _ = _steering(15)
+        steering, _ = _create_steering(15)
         gc.collect()
         tracemalloc.start()
         for number in range(flows):
@@ -175,7 +177,7 @@
     for targets in TABLE_SIZES:
         gc.collect()
         tracemalloc.start()
-        measured = _steering(targets)
+        measured = _create_steering(targets)
         found[targets] = tracemalloc.get_traced_memory()[0]
         tracemalloc.stop()
         del measured
@@ -187,7 +189,7 @@
     owner = PacketFlowOwner(
         name="a", service="maps", slots=2, connections=9, log=DecisionLog("bench")
     )
-    raw = _raw(1)
+    raw = _encode_packet(1)
     response = Segment(
         flags=ACK, source=SERVICE, destination=("100.64.0.7", 10_001), data=b"y"
     ).encode()
@@ -198,10 +200,10 @@
 
     def run(_: int) -> None:
         frame = FRAMES.decode(data)
-        packet = _packet(frame.payload)
+        packet = _decode_packet(frame.payload)
         owner.from_balancer(frame, packet, sender=("10.0.0.1", 1), now=1.0)
 
-    return _micros(run, 20_000)
+    return _mean_microseconds(run, 20_000)
 
 
 def main() -> int:
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -59,7 +59,7 @@
     return Balancer(own=own, keys=KEYS)
 
 
-def _hashed(flow: bytes, targets: list[int]) -> int:
+def _choose_by_hash(flow: bytes, targets: list[int]) -> int:
     """Steer by a hash of the flow over a balancer's own list of targets."""
     number = int.from_bytes(blake2b(flow, digest_size=8).digest(), "big")
     return targets[number % len(targets)]
@@ -78,7 +78,7 @@
     tables = [list(targets) for _ in range(BALANCERS)]
     balancers = [_balancer(n) for n in range(BALANCERS)]
     flows = [draw.randbytes(16) for _ in range(FLOWS)]
-    owner = {flow: _hashed(flow, targets) for flow in flows}
+    owner = {flow: _choose_by_hash(flow, targets) for flow in flows}
     broken: dict[str, set] = {"product": set(), "naive hash": set()}
     for step in range(TARGETS):
         targets = [*targets[1:], TARGETS + 1 + step]
@@ -91,10 +91,10 @@
                 owner[flow] = draw.choice(targets)
                 broken["naive hash"].discard(flow)
             balancer_index = draw.randrange(BALANCERS)
-            if _hashed(flow, tables[balancer_index]) != owner[flow]:
+            if _choose_by_hash(flow, tables[balancer_index]) != owner[flow]:
                 broken["naive hash"].add(flow)
             if (
-                _steered(balancers[balancer_index], flow, owner[flow], draw)
+                _choose_by_token(balancers[balancer_index], flow, owner[flow], draw)
                 != owner[flow]
             ):
                 broken["product"].add(flow)
@@ -107,7 +107,9 @@
         }
 
 
-def _steered(balancer: Balancer, flow: bytes, target: int, draw: random.Random) -> int:
+def _choose_by_token(
+    balancer: Balancer, flow: bytes, target: int, draw: random.Random
+) -> int:
     """Return the target to which monsoonpier steers a packet, 0 if it is dropped."""
     token = FlowToken(
         service="maps", ip=f"10.1.0.{target}", port=9000, instance=bytes([target]) * 8
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -150,14 +150,14 @@
             "crash_target": self._crash_target,
             "configure": self._configure,
             "kill_all": self._kill_all,
-            "clock_step": self._clock_step,
+            "clock_step": self._restart_with_clock_step,
             "hang_up": self._send_sighup,
         }
         self._log(f"{step.kind} {step.subject} for {step.seconds:.1f} s")
         if step.kind.startswith(("link", "target", "fabric")):
-            await self._link_fault(step)
+            await self._inject_link_fault(step)
         else:
-            await handlers.get(step.kind, self._store_fault)(step)
+            await handlers.get(step.kind, self._inject_store_fault)(step)
         self._log(f"{step.kind} {step.subject} ended")
 
     def _log(self, text: str) -> None:
@@ -228,7 +228,7 @@
             _clear_store_faults(self.deployment.store.faults)
         await asyncio.gather(*(self._start(name) for name in names))
 
-    async def _clock_step(self, step: Step) -> None:
+    async def _restart_with_clock_step(self, step: Step) -> None:
         """Restart a process with its wall clock set ahead or back."""
         share = (step.seconds - 1.6) / 1.4  # maps the drawn 0.2 to 3.0 to -1 to 1
         offsets_by_name = self.deployment.clock_offsets_by_name
@@ -238,7 +238,7 @@
     async def _send_sighup(self, step: Step) -> None:
         self.deployment.nodes_by_name[step.subject].signal(signal.SIGHUP)
 
-    async def _link_fault(self, step: Step) -> None:
+    async def _inject_link_fault(self, step: Step) -> None:
         links = self.deployment.links_by_name.get(step.subject)
         if step.kind == "link_reset" and links is not None:
             links.store.reset()
@@ -264,7 +264,7 @@
     async def _configure(self, step: Step) -> None:
         self.deployment.configure(routes=int(step.seconds * 100))
 
-    async def _store_fault(self, step: Step) -> None:
+    async def _inject_store_fault(self, step: Step) -> None:
         faults = self.deployment.store.faults
         match step.kind:
             case "store_down":
@@ -360,6 +360,7 @@
 
 def _relevant_log_lines(deployment: PacketDeployment) -> list[str]:
     """Return the lines of all logs that help to explain a violation."""
+    # Without first letters and endings that vary.
     words = ("caller reset", "denie", "target", "state changed", "rror")
     return [
         f"{name}: {line}"
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -61,7 +61,7 @@
     async def start(self) -> None:
         """Bind every virtual address and start the health checks."""
         for vip in self._vips:
-            receive = partial(self._from_caller, vip)
+            receive = partial(self._handle_caller_packet, vip)
             self._sockets[vip] = await open_udp(receive, ip=vip.ip, port=vip.port)
         self._spawn(self._run_health_checks())
 
@@ -80,13 +80,15 @@
             for ip, url in ready_urls_by_ip.items()
         }
 
-    def _from_caller(self, vip: Address, data: bytes, caller: tuple[str, int]) -> None:
+    def _handle_caller_packet(
+        self, vip: Address, data: bytes, caller: tuple[str, int]
+    ) -> None:
         self.packets += 1
         key = (vip, caller)
         upstream = self._callers.get(key)
         if upstream is not None:
             self._send_with_faults(
-                partial(self._to_random_balancer, upstream, vip, data)
+                partial(self._forward_to_random_balancer, upstream, vip, data)
             )
         elif key in self._pending_by_key:
             self._pending_by_key[key].append(data)
@@ -95,27 +97,31 @@
             self._spawn(self._open_upstream(key))
 
     async def _open_upstream(self, key) -> None:
+        """Open a caller's socket towards balancers and forward its pending packets."""
         vip, caller = key
         upstream = await open_udp(
-            partial(self._to_caller, vip, caller), ip="127.0.0.1", port=0
+            partial(self._forward_to_caller, vip, caller), ip="127.0.0.1", port=0
         )
         self._callers[key] = upstream
         for data in self._pending_by_key.pop(key):
             self._send_with_faults(
-                partial(self._to_random_balancer, upstream, vip, data)
+                partial(self._forward_to_random_balancer, upstream, vip, data)
             )
 
-    def _to_random_balancer(
+    def _forward_to_random_balancer(
         self, upstream: UdpSocket, vip: Address, data: bytes
     ) -> None:
         used = [b for b in self._balancers_by_ip.values() if b.is_used]
         if used:
             upstream.send(data, (self._draw.choice(used).ip, vip.port))
 
-    def _to_caller(self, vip, caller, data: bytes, sender: tuple[str, int]) -> None:
+    def _forward_to_caller(
+        self, vip, caller, data: bytes, sender: tuple[str, int]
+    ) -> None:
         self._send_with_faults(partial(self._sockets[vip].send, data, caller))
 
     def _send_with_faults(self, send) -> None:
+        """Call ``send`` zero to two times, at once or later, as the faults demand."""
         faults, draw = self.faults, self._draw
         if faults.drop and draw.random() < faults.drop:
             return
--- a/standins/packets/caller.py
+++ b/standins/packets/caller.py
@@ -147,7 +147,7 @@
         self.resets = 0
         self._initial_sequence = random.getrandbits(32)
         self._stream: Stream | None = None
-        self._arrived = asyncio.Event()
+        self._changed = asyncio.Event()
         self._end_reason: str | None = None
 
     async def open(self) -> None:
@@ -163,10 +163,10 @@
             self.caller.send([self._segment(SYN, acknowledged=retransmission)])
             while self._stream is None and time.monotonic() < started_at + until:
                 self._raise_if_ended()
-                self._arrived.clear()
+                self._changed.clear()
                 left = started_at + until - time.monotonic()
                 try:
-                    await asyncio.wait_for(self._arrived.wait(), max(0.001, left))
+                    await asyncio.wait_for(self._changed.wait(), max(0.001, left))
                 except TimeoutError:
                     break
             self._raise_if_ended()
@@ -208,8 +208,8 @@
             if self._stream.has_peer_fin:
                 raise FlowEnded("closed by the target")
             self._raise_if_ended()
-            self._arrived.clear()
-            await self._arrived.wait()
+            self._changed.clear()
+            await self._changed.wait()
 
     @property
     def is_closed_by_target(self) -> bool:
@@ -230,7 +230,7 @@
             self._handle_syn_ack(segment)
         elif self._stream is not None:
             self.caller.send(self._stream.receive(segment, now=time.monotonic()))
-        self._arrived.set()
+        self._changed.set()
 
     def tick(self) -> None:
         """Retransmit unacknowledged packets that are due."""
--- a/standins/packets/load.py
+++ b/standins/packets/load.py
@@ -70,11 +70,11 @@
             writers: How many open a flow for each request.
             uploaders: How many upload large bodies, each on its own flow.
         """
-        behaviours = [self._read] * readers + [self._write] * writers
-        behaviours += [self._upload] * uploaders
-        for number, behave in enumerate(behaviours):
+        callers = [self._run_reader] * readers + [self._run_writer] * writers
+        callers += [self._run_uploader] * uploaders
+        for number, call in enumerate(callers):
             draw = random.Random(f"{self.seed} {number}")
-            self._tasks.append(asyncio.create_task(self._repeat(behave, draw)))
+            self._tasks.append(asyncio.create_task(self._repeat(call, draw)))
 
     async def stop(self) -> PacketLoadResult:
         """Stop callers after their current requests; return the counts."""
@@ -108,12 +108,12 @@
             service == requested or service in self.shared_by_service.get(requested, ())
         )
 
-    async def _repeat(self, behave, draw: random.Random) -> None:
+    async def _repeat(self, call, draw: random.Random) -> None:
         while not self._is_stopping:
-            await behave(draw)
+            await call(draw)
             await asyncio.sleep(draw.uniform(0.02, 0.1))
 
-    async def _read(self, draw: random.Random) -> None:
+    async def _run_reader(self, draw: random.Random) -> None:
         """Send requests on one flow until it ends."""
         flow = await self._open("maps")
         while flow is not None and not self._is_stopping:
@@ -129,13 +129,15 @@
         if flow is not None:
             flow.close()
 
-    async def _write(self, draw: random.Random) -> None:
+    async def _run_writer(self, draw: random.Random) -> None:
+        """Send one request on a new flow."""
         flow = await self._open("maps")
         if flow is not None:
             await self.request(flow, "maps", body=b"b" * 900, work_ms=15)
             flow.close()
 
-    async def _upload(self, draw: random.Random) -> None:
+    async def _run_uploader(self, draw: random.Random) -> None:
+        """Send one large request on a new flow."""
         flow = await self._open("logs")
         if flow is not None:
             await self.request(flow, "logs", body=b"u" * UPLOAD_BYTES)
@@ -174,6 +176,7 @@
         return True
 
     def _owners(self, flow: CallerFlow) -> list[str]:
+        """Return the names of targets at which the flow is open."""
         return [
             name
             for name, target in self.deployment.targets_by_name.items()
--- a/standins/packets/simulation.py
+++ b/standins/packets/simulation.py
@@ -252,14 +252,14 @@
 
     def _create_processes(self, *, started_at: float) -> None:
         self.targets = [
-            self._target(number, slots=self._slots, log=self._log)
+            self._create_target(number, slots=self._slots, log=self._log)
             for number in range(self.world.targets)
         ]
         self._balancers = [
-            self._balancer(number, self._log, started_at=started_at)
+            self._create_balancer(number, self._log, started_at=started_at)
             for number in range(self.world.balancers)
         ]
-        self._retrying = [False] * self.world.balancers
+        self._is_retry_scheduled = [False] * self.world.balancers
         self._up_at_by_number = {}
 
     def _begin_outage(self) -> None:
@@ -277,11 +277,11 @@
         for number in range(self.world.balancers):
             up_at = self.now + self.draw.uniform(first, last)
             self._up_at_by_number[number] = up_at
-            self._balancers[number] = self._balancer(
+            self._balancers[number] = self._create_balancer(
                 number, self._log, started_at=up_at
             )
 
-    def _target(self, number: int, *, slots: int, log: DecisionLog) -> _Target:
+    def _create_target(self, number: int, *, slots: int, log: DecisionLog) -> _Target:
         owner = PacketFlowOwner(
             name=f"maps-{number}",
             service="maps",
@@ -293,7 +293,7 @@
         owner.condition = Condition.SERVING
         return _Target(number=number, owner=owner)
 
-    def _balancer(
+    def _create_balancer(
         self, number: int, log: DecisionLog, *, started_at: float
     ) -> PacketSteering:
         own = _balancer_record(number)
@@ -301,7 +301,7 @@
         for other in range(self.world.balancers):
             membership.peers.learn(_balancer_record(other))
         for target in self.targets:
-            membership.table.learn(self._record(target), now=0.0)
+            membership.table.learn(self._target_record(target), now=0.0)
         route = PacketRoute(
             service="maps",
             aim_seconds=self.world.aim_seconds,
@@ -318,7 +318,7 @@
             reserves=self.world.reserves,
         )
 
-    def _record(self, target: _Target) -> TargetRecord:
+    def _target_record(self, target: _Target) -> TargetRecord:
         return TargetRecord(
             name=f"maps-{target.number}",
             service="maps",
@@ -351,13 +351,13 @@
                 callback(*arguments)
         finally:
             new_flows.place = original
-        return self._outcome()
+        return self._compute_outcome()
 
     def _place(self, query, candidates, *, draw):
         """Call ``choose`` with the signature of monsoonpier's placement."""
         return self._choose(self, query, candidates, draw)
 
-    def _outcome(self) -> Outcome:
+    def _compute_outcome(self) -> Outcome:
         counted = [r for r in self._requests if r.first_attempt_at >= WARM_SECONDS]
         with_response = [r for r in counted if r.response_at is not None]
         seconds = [r.response_at - r.first_attempt_at for r in with_response]
@@ -424,7 +424,7 @@
         flows = world.targets * world.long_flows
         for _ in range(flows if world.long_share else 0):
             self._schedule_at(
-                self._load_draw.uniform(0, WARM_SECONDS / 2), self._open_long
+                self._load_draw.uniform(0, WARM_SECONDS / 2), self._open_long_flow
             )
         at = 1.5
         while at < world.seconds:
@@ -442,6 +442,7 @@
             self._schedule_at(at, callback, request)
 
     def _draw_caller(self) -> bytes:
+        """Draw a caller's IP address; empty if data centres have no weights."""
         weights = self.world.callers_by_data_centre
         if not weights:
             return b""
@@ -449,7 +450,8 @@
         first = self._load_draw.randrange(0, 255 // DATA_CENTRES) * DATA_CENTRES
         return bytes((first + data_centre,)) + self._load_draw.randbytes(3)
 
-    def _open_long(self, request: _Request | None = None) -> None:
+    def _open_long_flow(self, request: _Request | None = None) -> None:
+        """Open a long flow, which sends ``request`` once it is open."""
         flow = self._new_flow(request, is_long=True)
         self._long_flows.append(flow)
 
@@ -457,7 +459,7 @@
         request.attempts += 1
         idle = [f for f in self._long_flows if f.request is None and f.is_open]
         if not idle:
-            self._open_long(request)
+            self._open_long_flow(request)
             return
         flow = self._load_draw.choice(idle)
         flow.request = request
@@ -484,6 +486,7 @@
         return flow
 
     def _caller_address(self, address: bytes) -> bytes:
+        """Return a caller's IP address: that of the flow, or a shared one."""
         if not self.world.addresses:
             return address[:4]
         return self._load_draw.randrange(self.world.addresses).to_bytes(4, "little")
@@ -492,7 +495,7 @@
         if flow.is_open or flow.is_closed:
             return
         waited = (0.0, *SYN_RETRANSMIT_SECONDS)[number]
-        self._to_balancer(flow, retransmission=number, is_syn=True, waited=waited)
+        self._send_to_balancer(flow, retransmission=number, is_syn=True, waited=waited)
 
     def _give_up_opening(self, flow: _Flow) -> None:
         if not flow.is_open and not flow.is_closed:
@@ -508,7 +511,7 @@
         if flow.is_long:
             self._long_flows.remove(flow)
         if request is None and self.now < WARM_SECONDS:
-            self._schedule_after(REOPEN_SECONDS, self._open_long)
+            self._schedule_after(REOPEN_SECONDS, self._open_long_flow)
         if request is None or request.response_at is not None:
             return
         request.is_failed = True
@@ -517,13 +520,13 @@
             return
         if flow.is_long:
             request.attempts += 1
-            self._open_long(request)
+            self._open_long_flow(request)
         else:
             self._send_on_new_flow(request)
 
     # Packets
 
-    def _packet(self, flow: _Flow, *, kind: int, **fields) -> Packet:
+    def _create_packet(self, flow: _Flow, *, kind: int, **fields) -> Packet:
         """Return a new packet of a flow.
 
         Args:
@@ -549,10 +552,14 @@
         self._packets_by_raw[raw] = packet
         return packet
 
-    def _to_balancer(self, flow: _Flow, *, retransmission: int = 0, **fields) -> None:
+    def _send_to_balancer(
+        self, flow: _Flow, *, retransmission: int = 0, **fields
+    ) -> None:
         acknowledged = retransmission if fields.get("is_syn") else FIRST_SEQUENCE + 1
         kind = 0 if fields.get("is_syn") else 1
-        packet = self._packet(flow, kind=kind, acknowledged=acknowledged, **fields)
+        packet = self._create_packet(
+            flow, kind=kind, acknowledged=acknowledged, **fields
+        )
         number = self._entry_balancer(flow)
         if self._is_in_outage:
             return
@@ -620,11 +627,12 @@
                         self._handle_reset,
                         packet.flow,
                     )
-        if not self._retrying[number] and self._balancers[number].is_waiting:
-            self._retrying[number] = True
+        if not self._is_retry_scheduled[number] and self._balancers[number].is_waiting:
+            self._is_retry_scheduled[number] = True
             self._schedule_after(RETRY_SECONDS, self._retry_waiting, number)
 
     def _count_placed(self, frame, target: int, balancer: int) -> None:
+        """Count a new flow's SYN, and whether it goes to another data centre."""
         if isinstance(frame, ForwardPacket) and frame.tried:
             self._placed += 1
             self._remote += target % DATA_CENTRES != balancer % DATA_CENTRES
@@ -632,7 +640,7 @@
     def _retry_waiting(self, number: int) -> None:
         if self._is_in_outage:
             return
-        self._retrying[number] = False
+        self._is_retry_scheduled[number] = False
         steering = self._balancers[number]
         self._apply_balancer_actions(
             number, steering.retry(now=self.now, draw=self.draw)
@@ -730,8 +738,10 @@
         if packet.is_syn:
             self._delivered_syns += 1
             self._late_syns += flow.is_closed or flow.is_open
-            syn_ack = self._packet(flow, kind=2, sequence=FIRST_SEQUENCE, is_syn=True)
-            self._from_target(target, syn_ack)
+            syn_ack = self._create_packet(
+                flow, kind=2, sequence=FIRST_SEQUENCE, is_syn=True
+            )
+            self._handle_target_packet(target, syn_ack)
             return
         request = flow.request
         if not packet.size or request is None or request.response_at is not None:
@@ -742,7 +752,7 @@
         target.waiting.append((flow, request))
         self._start_runs(target)
 
-    def _from_target(self, target: _Target, packet: Packet) -> None:
+    def _handle_target_packet(self, target: _Target, packet: Packet) -> None:
         self._apply_agent_actions(
             target, target.owner.from_target(packet, now=self.now)
         )
@@ -787,7 +797,7 @@
         self._start_runs(target)
         if is_silent:
             return
-        response = self._packet(
+        response = self._create_packet(
             flow,
             kind=2,
             sequence=FIRST_SEQUENCE + 1,
@@ -796,7 +806,7 @@
         )
         if is_failure:
             self._failures.add(response.raw)
-        self._from_target(target, response)
+        self._handle_target_packet(target, response)
 
     def _time_out_request(self, flow: _Flow, request: _Request | None) -> None:
         if flow.request is request and not flow.is_closed:
@@ -813,7 +823,7 @@
                 return
             flow.is_open = True
             if flow.request is None:
-                self._to_balancer(flow)
+                self._send_to_balancer(flow)
             else:
                 self._send_request(flow)
             return
@@ -830,9 +840,10 @@
             flow.request = None
         if not flow.is_long:
             flow.is_closed = True
-            self._to_balancer(flow, is_fin=True)
+            self._send_to_balancer(flow, is_fin=True)
 
     def _send_request(self, flow: _Flow) -> None:
+        """Send the flow's request, with retransmissions until there is a response."""
         request, sequence = flow.request, flow.sequence
         flow.sequence += 100
         for seconds in (0.0, *RESEND_SECONDS):
@@ -843,7 +854,7 @@
 
     def _send_data(self, flow: _Flow, request: _Request | None, sequence: int) -> None:
         if flow.request is request and not flow.is_closed:
-            self._to_balancer(flow, size=100, sequence=sequence)
+            self._send_to_balancer(flow, size=100, sequence=sequence)
 
     def _handle_reset(self, address: bytes) -> None:
         flow = self._flows_by_address[address]
--- a/standins/packets/target.py
+++ b/standins/packets/target.py
@@ -178,7 +178,7 @@
             )
             self._send([syn_ack])
             return
-        if flow is None or not self._check_open(flow, segment):
+        if flow is None or not self._is_open_after(flow, segment):
             self.foreign += 1
             self._send_raw(bytes((data[0] | BOUNCED,)) + data[1:])
             return
@@ -202,7 +202,8 @@
         )
         return _Flow(stream=stream, initial_sequence=initial_sequence)
 
-    def _check_open(self, flow: _Flow, segment: Segment) -> bool:
+    def _is_open_after(self, flow: _Flow, segment: Segment) -> bool:
+        """Open the flow on the handshake's last packet; return whether it is open."""
         distance = (segment.acknowledged - flow.initial_sequence) % (1 << 32)
         if not flow.is_open:
             flow.is_open = distance == 1
@@ -218,12 +219,12 @@
                 return
             flow.buffer = bytearray(rest[int(size) :])
             task = asyncio.create_task(
-                self._run_one(flow, request, int(work_ms), int(response_size))
+                self._run_request(flow, request, int(work_ms), int(response_size))
             )
             flow.tasks.add(task)
             task.add_done_callback(flow.tasks.discard)
 
-    async def _run_one(
+    async def _run_request(
         self, flow: _Flow, request: str, work_ms: int, response_size: int
     ) -> None:
         async with self._slots:
--- a/tests/test_policy_bound.py
+++ b/tests/test_policy_bound.py
@@ -27,7 +27,7 @@
             scores = [bound(replace(OUTAGE, **{field: s})).score for s in lengths]
             self.assertEqual(scores, sorted(scores, reverse=True))
 
-    def test_no_room_for_the_backlog(self) -> None:
+    def test_no_spare_slots(self) -> None:
         """Without spare slots, late requests are not served."""
         full = replace(OUTAGE, slots=round(OUTAGE.per_second * OUTAGE.run_seconds))
         self.assertLess(bound(full).served, bound(OUTAGE).served)
