--- a/standins/packets/target.py
+++ b/standins/packets/target.py
@@ -30,7 +30,7 @@
 
 @dataclass(kw_only=True)
 class PacketTarget:
-    r"""Runs requests and counts them.
+    r"""Accepts flows, runs their requests and counts the runs.
 
     A request is ``id size work_ms response_size\n`` and ``size`` bytes of body. Its
     response is ``id instance response_size\n`` and that many bytes of body.
@@ -71,7 +71,7 @@
         self._socket = raw
         app = web.Application()
         app.router.add_get("/health", self._health)
-        app.router.add_get("/standin/runs", self._runs)
+        app.router.add_get("/standin/runs", self._get_runs)
         app.router.add_post("/standin/drain", self._drain)
         runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
         await runner.setup()
@@ -94,7 +94,7 @@
     async def _health(self, request: web.Request) -> web.Response:
         return web.Response(status=503 if self.is_draining else 200)
 
-    async def _runs(self, request: web.Request) -> web.Response:
+    async def _get_runs(self, request: web.Request) -> web.Response:
         body = {
             "instance": self.instance,
             "runs": self.runs_by_id,
@@ -178,7 +178,7 @@
             )
             self._send([syn_ack])
             return
-        if flow is None or not self._check_open(flow, segment):
+        if flow is None or not self._is_open_after(flow, segment):
             self.foreign += 1
             self._send_raw(bytes((data[0] | BOUNCED,)) + data[1:])
             return
@@ -197,12 +197,13 @@
         stream = Stream(
             own=segment.destination,
             peer=segment.source,
-            sent=(initial_sequence + 1) % (1 << 32),
-            received=(segment.sequence + 1) % (1 << 32),
+            next_sequence=(initial_sequence + 1) % (1 << 32),
+            expected_sequence=(segment.sequence + 1) % (1 << 32),
         )
         return _Flow(stream=stream, initial_sequence=initial_sequence)
 
-    def _check_open(self, flow: _Flow, segment: Segment) -> bool:
+    def _is_open_after(self, flow: _Flow, segment: Segment) -> bool:
+        """Open the flow on the handshake's last packet; return whether it is open."""
         distance = (segment.acknowledged - flow.initial_sequence) % (1 << 32)
         if not flow.is_open:
             flow.is_open = distance == 1
@@ -218,12 +219,12 @@
                 return
             flow.buffer = bytearray(rest[int(size) :])
             task = asyncio.create_task(
-                self._run_one(flow, request, int(work_ms), int(response_size))
+                self._run_request(flow, request, int(work_ms), int(response_size))
             )
             flow.tasks.add(task)
             task.add_done_callback(flow.tasks.discard)
 
-    async def _run_one(
+    async def _run_request(
         self, flow: _Flow, request: str, work_ms: int, response_size: int
     ) -> None:
         async with self._slots:
