--- a/monsoonpier/agent/tokens/__init__.py
+++ b/monsoonpier/agent/tokens/__init__.py
@@ -1,1 +1,1 @@
-"""Agents of flows whose packets carry a token: decisions, and the process."""
+"""The agent for flows whose packets carry a token: its logic and its process."""
--- a/monsoonpier/agent/tokens/actions.py
+++ b/monsoonpier/agent/tokens/actions.py
@@ -1,4 +1,4 @@
-"""What the agent's decisions ask its process to do, and what comes back."""
+"""Actions that the agent's logic returns, and the results of requests at the target."""
 
 from dataclasses import dataclass
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestKey:
-    """Names a request: its flow's id and its number in the flow."""
+    """Identifies a request by its flow id and its number in the flow."""
 
     flow: bytes
     request: int
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Reply:
-    """Send a message to the caller through the balancer at ``via``."""
+    """Send a message to the caller through the balancer at address ``via``."""
 
     via: tuple[str, int]
     ip: str
@@ -44,7 +44,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Return:
-    """Send an OPEN back to the balancer: this target does not take it."""
+    """Return an OPEN to the balancer, because this target rejects new flows.
+
+    ``tried`` names the targets that the balancer has tried before.
+    """
 
     via: tuple[str, int]
     ip: str
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Run:
-    """Hand a request over to the target; ``time_left`` in seconds."""
+    """Dispatch a request to the target; ``time_left`` is in seconds."""
 
     key: RequestKey
     kind: str
@@ -67,10 +70,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Abort:
-    """Close the target's connection of a request, which cancels it.
+    """Cancel a request by closing its connection to the target.
 
-    ``late`` tells a passed deadline, which speaks against the target, from a
-    caller that gave up, which doesn't.
+    ``late`` is true if the deadline passed, which counts as a failure of the
+    target, and false if the caller cancelled.
     """
 
     key: RequestKey
@@ -79,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StartStream:
-    """Read a stream's items after number ``after`` from the target."""
+    """Start reading a stream from the target, from the item after ``after``."""
 
     key: RequestKey
     kind: str
@@ -88,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Credit:
-    """Let the stream's reader read that many items more."""
+    """Allow the stream's reader to read ``items`` more items."""
 
     key: RequestKey
     items: int
@@ -106,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Answered:
-    """The target answered; ``seconds`` is how long it took."""
+    """The target answered after ``seconds``."""
 
     status: int
     body: bytes
@@ -115,33 +118,36 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Shed:
-    """The target refused with 503: it did not run."""
+    """The target rejected the request with status 503; it did not run.
+
+    ``retry_after`` is in seconds.
+    """
 
     retry_after: float
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NeverSent:
-    """No connection could be made: it did not run."""
+    """No connection to the target could be made; the request did not run."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Broke:
-    """The connection broke after the first byte: it may have run."""
+    """The connection broke after it was made; the request may have run."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TimedOut:
-    """Nothing came before the deadline: it may have run."""
+    """The deadline passed without an answer; the request may have run."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Aborted:
-    """The caller gave up before an answer came: it may have run."""
+    """The caller cancelled before an answer came; the request may have run."""
 
 
 RunResult = Answered | Shed | NeverSent | Broke | TimedOut | Aborted
--- a/monsoonpier/agent/tokens/condition.py
+++ b/monsoonpier/agent/tokens/condition.py
@@ -1,4 +1,4 @@
-"""The target's condition as its agent judges it, on ``charts/target.toml``."""
+"""The state of a target as its agent sees it; defined in ``charts/target.toml``."""
 
 from dataclasses import dataclass, replace
 
@@ -14,16 +14,16 @@
 from monsoonpier.charts import load_chart
 from monsoonpier.model.target import Condition
 
-__all__ = ["TargetLife"]
+__all__ = ["TargetState"]
 
-SILENT_RUNS = 3  # runs in a row without an answer: the target is unresponsive
-TRY_AGAIN_SECONDS = 2.0  # before the first trial; each that fails doubles it
+SILENT_RUNS = 3  # consecutive runs without an answer make a target unresponsive
+TRY_AGAIN_SECONDS = 2.0  # before the first probe; doubles with each failed probe
 MAX_TRY_AGAIN_SECONDS = 60.0
-MAX_TRIALS = 8
+MAX_FAILED_PROBES = 8
 NEVER = float("inf")
 EVACUATED = "data centre evacuated"
 MIN_RETRY_SECONDS = 0.05
-UNDATED_RETRY_SECONDS = 1.0  # the state has no end that is known
+UNDATED_RETRY_SECONDS = 1.0  # if it is not known when the state ends
 _CODES_BY_STATE = {
     "starting": Condition.STARTING,
     "serving": Condition.SERVING,
@@ -36,22 +36,24 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class TargetLife:
-    """State, evidence and the time at which the state ends by itself.
+class TargetState:
+    """The target's state, its failure counts, and when the state expires.
 
-    ``is_evacuated`` says that an operator wants no new work in this data centre.
+    ``until`` and ``serving_since`` are monotonic times in seconds.
+    ``is_evacuated`` is true while an evacuation order for the data centre of
+    the target forbids new work.
     """
 
     state: str = "starting"
     silent_runs: int = 0
-    failed_trials: int = 0
+    failed_probes: int = 0
     until: float = NEVER
     serving_since: float | None = None
     is_evacuated: bool = False
 
     @property
     def code(self) -> Condition:
-        """The condition as reports carry it."""
+        """The condition that load reports carry."""
         code = _CODES_BY_STATE[self.state]
         if self.is_evacuated and code is Condition.SERVING:
             return Condition.SHEDDING
@@ -59,7 +61,7 @@
 
     @property
     def label(self) -> str:
-        """The state as callers and logs are told of it."""
+        """The name of the state in rejections and logs."""
         return EVACUATED if self.is_evacuated else self.state
 
     @property
@@ -77,32 +79,32 @@
 
     @property
     def one_at_a_time(self) -> bool:
-        """Whether the target is only being tried out."""
+        """Whether only one request at a time may run, as a probe."""
         return self._has("one_at_a_time")
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the target has begun to leave."""
+        """Whether the target is leaving or gone."""
         return self.code >= Condition.LEAVING
 
     def retry_after(self, *, now: float) -> float:
-        """Return seconds after which requests may be taken again."""
+        """Return the seconds after which callers may retry."""
         if self.until == NEVER:
             return UNDATED_RETRY_SECONDS
         return max(MIN_RETRY_SECONDS, self.until - now)
 
     def age_ms(self, *, now: float) -> int:
-        """Return the time since the target began to serve."""
+        """Return the milliseconds since the target began to serve, or 0."""
         if self.serving_since is None:
             return 0
         return int((now - self.serving_since) * 1000)
 
     def after_run(
-        self, result: RunResult, *, is_fair: bool, now: float
-    ) -> "TargetLife":
-        """Return the life after a run ended this way.
+        self, result: RunResult, *, had_enough_time: bool, now: float
+    ) -> "TargetState":
+        """Return the state after a run ended with this result.
 
-        ``is_fair`` tells whether the run was given time enough to answer.
+        A timeout counts against the target only if ``had_enough_time``.
         """
         match result:
             case Answered():
@@ -111,72 +113,75 @@
                 return self.shed(retry_after=retry_after, now=now)
             case NeverSent():
                 return self.refused(now=now)
-            case TimedOut() if not is_fair and not self.one_at_a_time:
+            case TimedOut() if not had_enough_time and not self.one_at_a_time:
                 return self
             case TimedOut() | Broke():
-                return self.ran_silent(now=now)
+                return self.unanswered(now=now)
             case Aborted():
                 return self
 
-    def answered(self, *, now: float) -> "TargetLife":
-        """Return the life after a run was answered, which is evidence."""
-        after = self._after("answered", now=now)
-        return replace(after, silent_runs=0, failed_trials=0)
+    def answered(self, *, now: float) -> "TargetState":
+        """Return the state after a run was answered; resets the failure counts."""
+        after = self._step("answered", now=now)
+        return replace(after, silent_runs=0, failed_probes=0)
 
-    def healthy(self, *, now: float) -> "TargetLife":
-        """Return the life after a health check passed, which is only a hint."""
-        return self._after("healthy", now=now)
+    def healthy(self, *, now: float) -> "TargetState":
+        """Return the state after a health check passed.
 
-    def refused(self, *, now: float) -> "TargetLife":
-        """Return the life after a connection was refused."""
-        return self._after("refused", now=now)
+        A health check doesn't end the unresponsive state.
+        """
+        return self._step("healthy", now=now)
+
+    def refused(self, *, now: float) -> "TargetState":
+        """Return the state after a connection was refused."""
+        return self._step("refused", now=now)
 
-    def shed(self, *, retry_after: float, now: float) -> "TargetLife":
-        """Return the life after a 503 that asks to come back later."""
-        return replace(self._after("shed", now=now), until=now + retry_after)
+    def shed(self, *, retry_after: float, now: float) -> "TargetState":
+        """Return the state after a 503; ``retry_after`` is in seconds."""
+        return replace(self._step("shed", now=now), until=now + retry_after)
 
-    def ran_silent(self, *, now: float) -> "TargetLife":
-        """Return the life after a run that got no answer."""
+    def unanswered(self, *, now: float) -> "TargetState":
+        """Return the state after a run ended without an answer."""
         after = replace(self, silent_runs=self.silent_runs + 1)
         if after.silent_runs < SILENT_RUNS and not self.one_at_a_time:
             return after
-        wait = TRY_AGAIN_SECONDS * 2**after.failed_trials
+        wait = TRY_AGAIN_SECONDS * 2**after.failed_probes
         return replace(
-            after._after("silent", now=now),
+            after._step("silent", now=now),
             until=now + min(wait, MAX_TRY_AGAIN_SECONDS),
-            failed_trials=min(after.failed_trials + 1, MAX_TRIALS),
+            failed_probes=min(after.failed_probes + 1, MAX_FAILED_PROBES),
         )
 
-    def evacuated(self, is_evacuated: bool) -> "TargetLife":
-        """Return the life after an order on the data centre, or its taking back."""
+    def with_evacuation(self, is_evacuated: bool) -> "TargetState":
+        """Return the state with an evacuation order in force, or revoked."""
         return replace(self, is_evacuated=is_evacuated)
 
-    def leave(self, *, now: float) -> "TargetLife":
-        """Return the life after the order to leave."""
-        return self._after("leave", now=now)
+    def leave(self, *, now: float) -> "TargetState":
+        """Return the state after the order to leave."""
+        return self._step("leave", now=now)
 
-    def stay(self, *, now: float) -> "TargetLife":
-        """Return the life after the order to leave was taken back."""
-        return self._after("stay", now=now)
+    def stay(self, *, now: float) -> "TargetState":
+        """Return the state after the order to leave was revoked."""
+        return self._step("stay", now=now)
 
-    def finished(self, *, now: float) -> "TargetLife":
-        """Return the life after the last work of a leaving target."""
-        return self._after("finished", now=now)
+    def finished(self, *, now: float) -> "TargetState":
+        """Return the state after a leaving target finished its last work."""
+        return self._step("finished", now=now)
 
-    def at(self, *, now: float) -> "TargetLife":
-        """Return the life at this time: shedding and silence run out."""
+    def advance(self, *, now: float) -> "TargetState":
+        """Return the state at ``now``, after shedding and unresponsive expire."""
         if now < self.until:
             return self
-        over = self._after("shed_over", now=now)._after("try_again", now=now)
-        return replace(over, until=NEVER)
+        advanced = self._step("shed_over", now=now)._step("try_again", now=now)
+        return replace(advanced, until=NEVER)
 
-    def _after(self, event: str, *, now: float) -> "TargetLife":
+    def _step(self, event: str, *, now: float) -> "TargetState":
         state = load_chart("target").step(self.state, event)
         if state == self.state:
             return self
         since = self.serving_since
         if state in ("starting", "unresponsive"):
-            # What comes back from these is cold, and gets little at first.
+            # A target that comes back from these states counts as cold.
             since = None
         elif since is None and load_chart("target").has(state, "takes_flows"):
             since = now
--- a/monsoonpier/agent/tokens/flows.py
+++ b/monsoonpier/agent/tokens/flows.py
@@ -1,4 +1,4 @@
-"""Records of flows, requests and streams. Mutable: an agent holds many."""
+"""Mutable records of flows, requests and streams that an agent keeps."""
 
 import itertools
 from enum import IntEnum
@@ -13,11 +13,11 @@
 
 __all__ = ["Answer", "Flow", "Request", "Stage", "Stream"]
 
-MAX_VIAS = 3  # balancers remembered for sending again by another one
+MAX_VIAS = 3  # balancers kept per flow, so that resends can use another one
 
 
 class Stage(IntEnum):
-    """How far a request has come; only ``RUNNING`` has reached the target."""
+    """The stage of a request; it reaches the target when it is ``RUNNING``."""
 
     RECEIVING = 0
     QUEUED = 1
@@ -26,7 +26,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole answer of the target, kept until the caller has it."""
+    """A complete answer of the target, kept until the caller acknowledges it."""
 
     status: int
     body: bytes
@@ -34,11 +34,11 @@
 
     @property
     def parts(self) -> int:
-        """The number of datagrams it takes."""
+        """The number of datagrams that the answer takes."""
         return max(1, -(-len(self.body) // PART_BYTES))
 
     def part(self, number: int, *, flow: bytes, request: int) -> AnswerPart:
-        """Return one of its datagrams, counted from 0."""
+        """Return the datagram with part ``number``, counted from 0."""
         start = number * PART_BYTES
         return AnswerPart(
             flow=flow,
@@ -52,7 +52,12 @@
 
 
 class Request(msgspec.Struct, kw_only=True):
-    """One request of a flow and, once finished, its one outcome."""
+    """One request of a flow and, once it is finished, its outcome.
+
+    Parts 0 to ``have_below`` - 1 have been received; ``highest`` is the
+    highest part received, ``received_datagrams`` counts duplicates too.
+    ``deadline`` is a monotonic time in seconds.
+    """
 
     id: int
     kind: str
@@ -63,31 +68,31 @@
     body_by_part: dict[int, bytes] = msgspec.field(default_factory=dict)
     have_below: int = 0
     highest: int = -1
-    datagrams: int = 0
+    received_datagrams: int = 0
     outcome: Verdict | Answer | None = None
 
     @property
-    def whole(self) -> bool:
-        """Whether every part has come."""
+    def is_complete(self) -> bool:
+        """Whether every part has been received."""
         return self.have_below == self.parts
 
     @property
     def has_gap(self) -> bool:
-        """Whether a part has come before an earlier one."""
+        """Whether an earlier part than the highest one is missing."""
         return self.highest >= self.have_below
 
     def missing(self, most: int) -> tuple[int, ...]:
-        """Return up to ``most`` gaps among the parts, the earliest first."""
-        gaps = (
+        """Return the numbers of up to ``most`` missing parts, in order."""
+        missing = (
             part
             for part in range(self.have_below, self.highest)
             if part not in self.body_by_part
         )
-        return tuple(itertools.islice(gaps, most))
+        return tuple(itertools.islice(missing, most))
 
     def add(self, part: int, body: bytes) -> bool:
-        """Keep one part; tell whether it was new."""
-        self.datagrams += 1
+        """Store one part; return whether it was new."""
+        self.received_datagrams += 1
         if part >= self.parts or part in self.body_by_part:
             return False
         self.body_by_part[part] = body
@@ -97,14 +102,18 @@
         return True
 
     def take_body(self) -> bytes:
-        """Return the whole body and forget its parts."""
+        """Return the whole body and release its parts."""
         body = b"".join(self.body_by_part[part] for part in range(self.parts))
         self.body_by_part = {}
         return body
 
 
 class Stream(msgspec.Struct, kw_only=True):
-    """One stream: items sent but not acknowledged, in order."""
+    """One stream and its items that are sent but not acknowledged, in order.
+
+    ``acked`` and ``last`` are the numbers of the last item acknowledged and
+    of the last item sent. ``resend_after`` is in seconds.
+    """
 
     id: int
     kind: str
@@ -118,7 +127,12 @@
 
 
 class Flow(msgspec.Struct, kw_only=True):
-    """One caller's flow; below ``mark`` all request ids are finished with."""
+    """One caller's flow.
+
+    The caller has finished with all request ids below ``watermark``. ``vias``
+    are the balancers that forwarded its packets, the latest first;
+    ``opening`` tells this flow from earlier ones with the same id.
+    """
 
     id: bytes
     opening: int
@@ -126,25 +140,25 @@
     port: int
     vias: list[tuple[str, int]]
     expires: float
-    mark: int = 1
+    watermark: int = 1
     requests_by_id: dict[int, Request] = msgspec.field(default_factory=dict)
     streams_by_id: dict[int, Stream] = msgspec.field(default_factory=dict)
 
     @property
     def is_busy(self) -> bool:
-        """Whether a stream or an unfinished request is open."""
+        """Whether the flow has an open stream or an unfinished request."""
         if self.streams_by_id:
             return True
         return any(r.stage is not Stage.FINISHED for r in self.requests_by_id.values())
 
     @property
     def is_working(self) -> bool:
-        """Whether a request of the flow waits for a slot or runs."""
+        """Whether a request of the flow is queued or running."""
         stages = (request.stage for request in self.requests_by_id.values())
         return any(stage in (Stage.QUEUED, Stage.RUNNING) for stage in stages)
 
-    def came_by(self, via: tuple[str, int], *, ip: str, port: int) -> None:
-        """Remember the balancer and the caller's address of a packet."""
+    def update_path(self, via: tuple[str, int], *, ip: str, port: int) -> None:
+        """Record the balancer and the caller's address that a packet came from."""
         self.ip = ip
         self.port = port
         vias = self.vias
@@ -156,6 +170,6 @@
         del vias[MAX_VIAS:]
 
     def rotate_via(self) -> None:
-        """Turn to another balancer: the present one may be gone."""
+        """Use another balancer from now on: the current one may be gone."""
         if len(self.vias) > 1:
             self.vias.append(self.vias.pop(0))
--- a/monsoonpier/agent/tokens/holder.py
+++ b/monsoonpier/agent/tokens/holder.py
@@ -1,4 +1,4 @@
-"""The agent's decisions: packets, results and time in, actions out."""
+"""The agent's logic without I/O: takes packets, results and time, returns actions."""
 
 import heapq
 import random
@@ -12,10 +12,10 @@
     Return,
     RunResult,
 )
-from monsoonpier.agent.tokens.condition import TargetLife
+from monsoonpier.agent.tokens.condition import TargetState
 from monsoonpier.agent.tokens.flows import Flow
-from monsoonpier.agent.tokens.requests import RequestDesk
-from monsoonpier.agent.tokens.streams import StreamDesk
+from monsoonpier.agent.tokens.requests import RequestManager
+from monsoonpier.agent.tokens.streams import StreamManager
 from monsoonpier.model.keys import KeyRing
 from monsoonpier.model.service import Service
 from monsoonpier.model.target import LoadReport
@@ -40,19 +40,19 @@
 
 __all__ = ["Holder"]
 
-UNUSED_FLOW_SECONDS = 10.0  # an OPEN's duplicate leaves only this behind
+UNUSED_FLOW_SECONDS = 10.0  # expiry of a flow without packets after its OPEN
 IDLE_FLOW_SECONDS = 60.0
 MIN_EXPIRY_SECONDS = 1.0
 MOVE_EVERY_SECONDS = 0.5
-LINGER_SECONDS = 5.0  # callers that have not fetched their outcome in this time
+LINGER_SECONDS = 5.0  # how long a leaving agent waits for silent callers
 RETURN_RETRY_MS = 1_000
 
 
 class Holder:
-    """Holds the flows of one target. Deterministic, and does no I/O.
+    """Owns the flows of one target. Deterministic, and does no I/O.
 
-    The process gives it datagrams, the target's results and the time, and
-    carries out the actions that it returns.
+    The process passes in datagrams, the target's results and the time, and
+    executes the returned actions.
     """
 
     def __init__(
@@ -68,36 +68,36 @@
         self._connections = connections
         self._flows_by_id: dict[bytes, Flow] = {}
         self._timers: list[tuple[float, bytes, int]] = []
-        self._requests = RequestDesk(slots=slots)
-        self._streams = StreamDesk()
+        self._requests = RequestManager(slots=slots)
+        self._streams = StreamManager()
         self._report_number = 0
-        self._openings = 0
-        self._leave_by: float | None = None
-        self._move_at = 0.0
-        self.life = TargetLife()
+        self._open_count = 0
+        self._leave_deadline: float | None = None
+        self._next_move_at = 0.0
+        self.life = TargetState()
         self.service: Service | None = None
         self.dropped_by_reason: Counter[str] = Counter()
-        self.refused_opens = 0
+        self.rejected_opens = 0
 
-    # What the process and the metrics read
+    # Readings for the process and its metrics
 
     @property
     def flows(self) -> int:
-        """Flows held now."""
+        """The number of open flows."""
         return len(self._flows_by_id)
 
     @property
-    def requests(self) -> RequestDesk:
+    def requests(self) -> RequestManager:
         """The requests of all flows."""
         return self._requests
 
     @property
     def streams(self) -> int:
-        """Streams open now."""
+        """The number of open streams."""
         return self._streams.open_streams
 
     def load(self, *, now: float) -> LoadReport:
-        """Return the present count of work, newer than any before."""
+        """Return a load report with the next report number."""
         self._report_number += 1
         return LoadReport(
             number=self._report_number,
@@ -110,52 +110,53 @@
         )
 
     def is_finished(self, *, now: float) -> bool:
-        """Tell whether a leaving agent has nothing left to do."""
-        if self._leave_by is None or self._requests.in_flight:
+        """Return whether a leaving agent has no work left."""
+        if self._leave_deadline is None or self._requests.in_flight:
             return False
         if any(flow.is_busy for flow in self._flows_by_id.values()):
             return False
-        return not self._flows_by_id or now >= self._leave_by
+        return not self._flows_by_id or now >= self._leave_deadline
 
     # Packets from callers
 
     def forwarded(
         self, frame: Forward, *, via: tuple[str, int], now: float, draw: random.Random
     ) -> list[Action]:
-        """Decide on a caller's packet that a balancer passed on."""
+        """Handle a caller's packet that the balancer at ``via`` forwarded."""
         if frame.service != self._token.service:
-            return self._drop("foreign_service")
+            return self._count_drop("foreign_service")
         message = caller_codec.decode(frame.payload)
         if isinstance(message, Dropped):
-            return self._drop(message.reason)
+            return self._count_drop(message.reason)
         if isinstance(message, Open):
-            return self._open(frame, message, via=via, now=now)
+            return self._handle_open(frame, message, via=via, now=now)
         token = open_token(message.token, flow=message.flow, keys=self._keys)
         if token is None:
-            return self._drop("forged_token")
+            return self._count_drop("forged_token")
         flow = self._flows_by_id.get(message.flow)
         if flow is None or token != self._token.with_opening(flow.opening):
             if isinstance(message, Close):
                 return []
-            gone = FlowGone(flow=message.flow)
-            return [Reply(via=via, ip=frame.ip, port=frame.port, message=gone)]
-        flow.came_by(via, ip=frame.ip, port=frame.port)
+            reply = FlowGone(flow=message.flow)
+            return [Reply(via=via, ip=frame.ip, port=frame.port, message=reply)]
+        flow.update_path(via, ip=frame.ip, port=frame.port)
         flow.expires = now + self._idle_seconds
-        return self._established(flow, message, now=now, draw=draw)
+        return self._handle_flow_message(flow, message, now=now, draw=draw)
 
     @property
     def _idle_seconds(self) -> float:
-        """A leaving agent does not wait long for callers that are gone."""
-        return IDLE_FLOW_SECONDS if self._leave_by is None else LINGER_SECONDS
+        """The idle timeout of flows, shorter while the agent is leaving."""
+        return IDLE_FLOW_SECONDS if self._leave_deadline is None else LINGER_SECONDS
 
-    def _open(
+    def _handle_open(
         self, frame: Forward, message: Open, *, via: tuple[str, int], now: float
     ) -> list[Action]:
+        """Open a flow, or reject it; repeat the reply to a duplicate."""
         flow = self._flows_by_id.get(message.flow)
         if flow is None:
-            reason = self._refuses_flows()
+            reason = self._flow_rejection_reason()
             if reason:
-                self.refused_opens += 1
+                self.rejected_opens += 1
                 return [
                     Return(
                         via=via,
@@ -167,10 +168,10 @@
                         retry_after_ms=RETURN_RETRY_MS,
                     )
                 ]
-            self._openings += 1
+            self._open_count += 1
             flow = Flow(
                 id=message.flow,
-                opening=self._openings,
+                opening=self._open_count,
                 ip=frame.ip,
                 port=frame.port,
                 vias=[via],
@@ -180,11 +181,11 @@
             self._set_timer(flow.expires, flow.id, 0)
         token = self._token.with_opening(flow.opening)
         sealed = seal_token(token, flow=message.flow, keys=self._keys)
-        flow.came_by(via, ip=frame.ip, port=frame.port)
+        flow.update_path(via, ip=frame.ip, port=frame.port)
         return self._replies(flow, [Opened(flow=message.flow, token=sealed)])
 
-    def _refuses_flows(self) -> str:
-        """Return why no new flow is taken, or an empty text if one is."""
+    def _flow_rejection_reason(self) -> str:
+        """Return why new flows are rejected, or an empty string if they aren't."""
         if not self.life.takes_flows:
             return self.life.label
         if self.service is None:
@@ -193,18 +194,19 @@
             return "connections are used up"
         return ""
 
-    def _established(
+    def _handle_flow_message(
         self, flow: Flow, message, *, now: float, draw: random.Random
     ) -> list[Action]:
+        """Handle a message on an open flow."""
         match message:
             case RequestPart():
-                actions = self._requests.advance_mark(flow, message.acked)
+                actions = self._requests.advance_watermark(flow, message.acked)
                 is_new = message.request not in flow.requests_by_id
-                more, replies = self._requests.take_part(
+                more, replies = self._requests.receive_part(
                     flow,
                     message,
                     service=self.service,
-                    life=self.life,
+                    target_state=self.life,
                     now=now,
                     draw=draw,
                 )
@@ -213,35 +215,36 @@
                     self._set_timer(deadline, flow.id, message.request)
                 return actions + more + self._replies(flow, replies)
             case Fetch():
-                actions = self._requests.advance_mark(flow, message.acked)
+                actions = self._requests.advance_watermark(flow, message.acked)
                 replies = self._requests.fetch(flow, message.request, message.missing)
                 return actions + self._replies(flow, replies)
             case Cancel():
-                actions = self._requests.advance_mark(flow, message.acked)
+                actions = self._requests.advance_watermark(flow, message.acked)
                 if message.request in flow.streams_by_id:
                     return actions + self._streams.close(flow, message.request)
                 more, replies = self._requests.cancel(flow, message.request, now=now)
                 return actions + more + self._replies(flow, replies)
             case StreamOpen():
-                actions = self._requests.advance_mark(flow, message.acked)
+                actions = self._requests.advance_watermark(flow, message.acked)
                 return actions + self._open_stream(flow, message, now=now)
             case StreamAck():
                 return self._streams.acknowledge(
                     flow, message.request, message.up_to, now=now
                 )
             case Ping():
-                actions = self._requests.advance_mark(flow, message.acked)
+                actions = self._requests.advance_watermark(flow, message.acked)
                 replies = [Pong(flow=flow.id)]
                 if self.life.is_leaving:
                     replies.append(Move(flow=flow.id))
                 return actions + self._replies(flow, replies)
             case Close():
                 return self._end_flow(flow)
-        return self._drop("unexpected")
+        return self._count_drop("unexpected")
 
     def _open_stream(
         self, flow: Flow, message: StreamOpen, *, now: float
     ) -> list[Action]:
+        """Start a stream, or end it at once if there is none of its kind."""
         if self.life.is_leaving:
             return self._replies(flow, [Move(flow=flow.id)])
         kind = self.service and self.service.kinds_by_name.get(message.kind)
@@ -252,86 +255,90 @@
             _, replies = self._streams.end(
                 flow, message.request, "no such stream", now=now
             )
-            self._set_resend(flow, message.request)
+            self._set_resend_timer(flow, message.request)
             return self._replies(flow, replies)
         return self._streams.open(flow, message, now=now)
 
-    # Results of the target
+    # Results from the target
 
     def run_ended(
         self, key: RequestKey, result: RunResult, *, now: float, draw: random.Random
     ) -> list[Action]:
-        """Take the result of a request that was handed over."""
-        is_fair = self._requests.had_fair_time(key)
-        self.life = self.life.after_run(result, is_fair=is_fair, now=now)
-        flow, replies = self._requests.ended(key, result, now=now, draw=draw)
+        """Handle the result of a request that was dispatched to the target."""
+        had_enough_time = self._requests.had_enough_time(key)
+        self.life = self.life.after_run(
+            result, had_enough_time=had_enough_time, now=now
+        )
+        flow, replies = self._requests.finish_run(key, result, now=now, draw=draw)
         actions = self._replies(flow, replies) if flow else []
         return actions + self._fill_slots(now=now)
 
     def stream_item(
         self, key: RequestKey, number: int, body: bytes, *, now: float
     ) -> list[Action]:
-        """Take one item that the target sent on a stream."""
+        """Handle one item that the target sent on a stream."""
         flow = self._flows_by_id.get(key.flow)
         if flow is None:
             return []
-        actions, replies = self._streams.item(flow, key.request, number, body, now=now)
+        actions, replies = self._streams.add_item(
+            flow, key.request, number, body, now=now
+        )
         if replies:
-            self._set_resend(flow, key.request)
+            self._set_resend_timer(flow, key.request)
         return actions + self._replies(flow, replies)
 
     def stream_ended(
         self, key: RequestKey, reason: str, *, reopen: bool, now: float
     ) -> list[Action]:
-        """Take the end of a stream at the target."""
+        """Handle the end of a stream at the target."""
         flow = self._flows_by_id.get(key.flow)
         if flow is None:
             return []
         actions, replies = self._streams.end(
             flow, key.request, reason, now=now, reopen=reopen
         )
-        self._set_resend(flow, key.request)
+        self._set_resend_timer(flow, key.request)
         return actions + self._replies(flow, replies)
 
-    # Orders and time
+    # Leaving and timers
 
     def leave(self, *, now: float) -> list[Action]:
-        """Begin to leave: no new work, and callers are asked to move."""
-        if self._leave_by is not None:
+        """Start leaving: reject new work and ask callers to move their flows."""
+        if self._leave_deadline is not None:
             return []
         self.life = self.life.leave(now=now)
-        self._leave_by = now + LINGER_SECONDS
+        self._leave_deadline = now + LINGER_SECONDS
         for flow in self._flows_by_id.values():
-            flow.expires = min(flow.expires, self._leave_by)
+            flow.expires = min(flow.expires, self._leave_deadline)
             self._set_timer(flow.expires, flow.id, 0)
-        return self._ask_to_move(now=now)
+        return self._send_moves(now=now)
 
     def stay(self, *, now: float) -> None:
-        """Take the order to leave back."""
-        if self._leave_by is not None:
-            self._leave_by = None
+        """Revoke the order to leave."""
+        if self._leave_deadline is not None:
+            self._leave_deadline = None
             self.life = self.life.stay(now=now)
 
     def tick(self, *, now: float, draw: random.Random) -> list[Action]:
-        """Do what has come due by ``now``."""
-        self.life = self.life.at(now=now)
+        """Handle all timers that are due by ``now``."""
+        self.life = self.life.advance(now=now)
         actions: list[Action] = []
         while self._timers and self._timers[0][0] <= now:
             _, flow_id, number = heapq.heappop(self._timers)
             flow = self._flows_by_id.get(flow_id)
             if flow is not None:
-                actions += self._due(flow, number, now=now)
-        if self._leave_by is not None and now >= self._move_at:
-            actions += self._ask_to_move(now=now)
+                actions += self._handle_timer(flow, number, now=now)
+        if self._leave_deadline is not None and now >= self._next_move_at:
+            actions += self._send_moves(now=now)
         return actions + self._fill_slots(now=now)
 
-    def _due(self, flow: Flow, number: int, *, now: float) -> list[Action]:
-        """Handle a timer: 0 is the flow's own, others are request ids."""
+    def _handle_timer(self, flow: Flow, number: int, *, now: float) -> list[Action]:
+        """Handle one timer; ``number`` is a request or stream id, or 0 for the flow."""
         if number == 0:
             if now >= flow.expires and not flow.is_working:
                 return self._end_flow(flow)
             if now >= flow.expires:
-                # Work in flight is not cut because its caller is silent.
+                # A silent caller doesn't abort its work in flight.
                 flow.expires = now + MIN_EXPIRY_SECONDS
             self._set_timer(flow.expires, flow.id, 0)
             return []
@@ -340,32 +347,34 @@
             stream.has_timer = False
             replies = self._streams.resend(flow, stream, now=now)
             if stream.unacked_by_number or stream.end is not None:
-                self._set_resend(flow, number)
+                self._set_resend_timer(flow, number)
             return self._replies(flow, replies)
         actions, replies = self._requests.expire(flow, number, now=now)
         return actions + self._replies(flow, replies)
 
     def _fill_slots(self, *, now: float) -> list[Action]:
-        runs, refused = self._requests.next_runs(life=self.life, now=now)
+        """Dispatch queued requests to free slots."""
+        runs, rejected = self._requests.next_runs(target_state=self.life, now=now)
         actions: list[Action] = list(runs)
-        for flow, replies in refused:
+        for flow, replies in rejected:
             actions += self._replies(flow, replies)
         return actions
 
-    def _ask_to_move(self, *, now: float) -> list[Action]:
-        self._move_at = now + MOVE_EVERY_SECONDS
+    def _send_moves(self, *, now: float) -> list[Action]:
+        """Ask the callers of all flows to move."""
+        self._next_move_at = now + MOVE_EVERY_SECONDS
         actions: list[Action] = []
         for flow in self._flows_by_id.values():
-            # A balancer that has gone would swallow every one of these.
+            # The balancer used last may be gone and drop each message.
             flow.rotate_via()
             actions += self._replies(flow, [Move(flow=flow.id)])
         return actions
 
     def _end_flow(self, flow: Flow) -> list[Action]:
         del self._flows_by_id[flow.id]
-        return self._requests.forget_flow(flow) + self._streams.forget_flow(flow)
+        return self._requests.discard_flow(flow) + self._streams.discard_flow(flow)
 
-    def _set_resend(self, flow: Flow, stream_id: int) -> None:
+    def _set_resend_timer(self, flow: Flow, stream_id: int) -> None:
         stream = flow.streams_by_id.get(stream_id)
         if stream is not None and not stream.has_timer:
             stream.has_timer = True
@@ -381,6 +390,6 @@
             for message in messages
         ]
 
-    def _drop(self, reason: str) -> list[Action]:
+    def _count_drop(self, reason: str) -> list[Action]:
         self.dropped_by_reason[reason] += 1
         return []
--- a/monsoonpier/agent/tokens/process.py
+++ b/monsoonpier/agent/tokens/process.py
@@ -1,4 +1,4 @@
-"""The agent's process: sockets, tasks and timers around the decisions."""
+"""The agent's process: runs the sockets, tasks and timers around its logic."""
 
 import asyncio
 import os
@@ -26,7 +26,7 @@
     Runner,
     StreamClosed,
 )
-from monsoonpier.agent.tokens.target_client import HealthHint, TargetClient
+from monsoonpier.agent.tokens.target_client import HealthStatus, TargetClient
 from monsoonpier.link.sender import LinkSender
 from monsoonpier.model.service import Configuration
 from monsoonpier.model.settings import Settings
@@ -59,13 +59,13 @@
 TICK_SECONDS = 0.05
 HEALTH_SECONDS = 1.0
 INSTANCE_BYTES = 8
-FAREWELLS = 3  # the record of a gone target is sent this often: datagrams get lost
-FAREWELL_SECONDS = 0.1
+GONE_ANNOUNCEMENTS = 3  # datagrams get lost, so the gone target is announced again
+GONE_ANNOUNCEMENT_SECONDS = 0.1  # between two of these announcements
 _log = structlog.get_logger("monsoonpier.agent.tokens.process")
 
 
 class AgentProcess:
-    """Runs one agent until it has left."""
+    """Runs one agent until it is asked to leave and has no work left."""
 
     def __init__(self, *, settings: Settings) -> None:
         assert settings.target and settings.internal and settings.control
@@ -100,7 +100,7 @@
             draw=self._draw,
         )
         self._client = TargetClient(url=settings.target.url)
-        self._runner = Runner(client=self._client, post=self._take_event)
+        self._runner = Runner(client=self._client, on_event=self._handle_event)
         self._socket: UdpSocket | None = None
         self._control = ControlServer(
             address=settings.control, keys=settings.keys, handler=self._answer
@@ -112,11 +112,11 @@
         )
         self._dropped_frames: dict[str, int] = {}
         self._control_bytes = {"in": 0, "out": 0}
-        self._wants_to_leave = False
+        self._leave_requested = False
         self._is_allowed = True
 
     async def run(self) -> None:
-        """Serve until asked to leave and all work is done.
+        """Serve until asked to leave and no work is left.
 
         Raises:
             OSError: If a port is taken.
@@ -130,22 +130,23 @@
         jobs = (
             self._control.run,
             self._tick_forever,
-            self._probe_forever,
+            self._check_health_forever,
             self._link.run,
         )
         await run_until_left(self._leave_and_finish, jobs)
         await self._stop()
 
     async def _leave_and_finish(self) -> None:
+        """Wait for the order to leave, finish all work, and announce the end."""
         await self._life.wait_for_leaving()
-        self._wants_to_leave = True
-        self._do(self._holder.leave(now=_now()))
+        self._leave_requested = True
+        self._execute(self._holder.leave(now=_now()))
         self._link.announce(self._holder.life.code)
         while not self._holder.is_finished(now=_now()):
             await asyncio.sleep(TICK_SECONDS)
-        for _ in range(FAREWELLS):
+        for _ in range(GONE_ANNOUNCEMENTS):
             self._link.announce(Condition.GONE)
-            await asyncio.sleep(FAREWELL_SECONDS)
+            await asyncio.sleep(GONE_ANNOUNCEMENT_SECONDS)
         self._life.step("finished")
 
     async def _stop(self) -> None:
@@ -166,10 +167,10 @@
                 actions = self._holder.forwarded(
                     frame, via=sender, now=_now(), draw=self._draw
                 )
-                self._do(actions)
+                self._execute(actions)
             case HeartbeatAck():
                 self._control_bytes["in"] += len(data)
-                self._acknowledged(frame)
+                self._handle_heartbeat_ack(frame)
             case Dropped(reason=reason):
                 self._count_drop(reason)
             case _:
@@ -178,7 +179,7 @@
     def _count_drop(self, reason: str) -> None:
         self._dropped_frames[reason] = self._dropped_frames.get(reason, 0) + 1
 
-    def _do(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case Reply():
@@ -194,7 +195,7 @@
                 case EndStream():
                     self._runner.end_stream(action)
                 case Return():
-                    self._send_bounce(action)
+                    self._reject_open(action)
 
     def _send_reply(self, reply: Reply) -> None:
         frame = frames.Return(
@@ -208,7 +209,8 @@
         )
         self._send(frame, reply.via)
 
-    def _send_bounce(self, action: Return) -> None:
+    def _reject_open(self, action: Return) -> None:
+        """Return an OPEN to its balancer, which tries another target."""
         frame = Bounce(
             service=self._settings.target.service,
             ip=action.ip,
@@ -222,10 +224,10 @@
         )
         self._send(frame, action.via)
 
-    # The target's events
+    # Events from the target
 
-    def _take_event(self, event: Event) -> None:
-        before = self._holder.life.label
+    def _handle_event(self, event: Event) -> None:
+        previous = self._holder.life.label
         match event:
             case RunEnded(key=key, result=result):
                 actions = self._holder.run_ended(
@@ -239,37 +241,38 @@
                 actions = self._holder.stream_ended(
                     key, reason, reopen=broke, now=_now()
                 )
-        self._do(actions)
-        self._note_condition(before)
+        self._execute(actions)
+        self._announce_if_changed(previous)
 
-    async def _probe_forever(self) -> None:
+    async def _check_health_forever(self) -> None:
         while True:
-            self._take_hint(await self._client.health())
+            self._handle_health(await self._client.health())
             await asyncio.sleep(HEALTH_SECONDS)
 
-    def _take_hint(self, hint: HealthHint) -> None:
-        before = self._holder.life.label
-        if hint.draining:
-            self._do(self._holder.leave(now=_now()))
-        elif hint.healthy:
-            may_stay = self._is_allowed and not self._wants_to_leave
+    def _handle_health(self, health: HealthStatus) -> None:
+        """Leave if the target drains; stay or serve if it is healthy again."""
+        previous = self._holder.life.label
+        if health.draining:
+            self._execute(self._holder.leave(now=_now()))
+        elif health.healthy:
+            may_stay = self._is_allowed and not self._leave_requested
             if self._holder.life.is_leaving and may_stay:
                 self._holder.stay(now=_now())
             self._holder.life = self._holder.life.healthy(now=_now())
-        self._note_condition(before)
+        self._announce_if_changed(previous)
 
     async def _tick_forever(self) -> None:
         while True:
             await asyncio.sleep(TICK_SECONDS)
-            before = self._holder.life.label
-            self._do(self._holder.tick(now=_now(), draw=self._draw))
-            self._note_condition(before)
-
-    def _note_condition(self, before: str) -> None:
-        """Announce at once what balancers should know within seconds."""
-        after = self._holder.life.label
-        if after != before:
-            _log.info("target changed", before=before, after=after)
+            previous = self._holder.life.label
+            self._execute(self._holder.tick(now=_now(), draw=self._draw))
+            self._announce_if_changed(previous)
+
+    def _announce_if_changed(self, previous: str) -> None:
+        """Announce a changed target state without waiting for the next heartbeat."""
+        label = self._holder.life.label
+        if label != previous:
+            _log.info("target state changed", before=previous, after=label)
             self._link.announce(self._holder.life.code)
 
     # Balancers
@@ -278,7 +281,7 @@
         self._control_bytes["out"] += self._send(frame, endpoint)
 
     def _send(self, frame, endpoint: tuple[str, int]) -> int:
-        """Send a frame to a balancer; return its bytes."""
+        """Send a frame to a balancer; return its size in bytes."""
         return send_frame(
             frame,
             endpoint,
@@ -287,25 +290,26 @@
             socket=self._socket,
         )
 
-    def _acknowledged(self, ack: HeartbeatAck) -> None:
-        """Leave while the configuration doesn't allow this target."""
-        before = self._holder.life.label
+    def _handle_heartbeat_ack(self, ack: HeartbeatAck) -> None:
+        """Handle a heartbeat's answer; leave if the target is not allowed."""
+        previous = self._holder.life.label
         self._is_allowed = self._link.acknowledged(ack)
         if not self._is_allowed:
-            self._do(self._holder.leave(now=_now()))
-        self._note_condition(before)
+            self._execute(self._holder.leave(now=_now()))
+        self._announce_if_changed(previous)
 
     def _configure(self, configuration: Configuration) -> None:
+        """Apply a new configuration."""
         services = configuration.services_by_name
         self._holder.service = services.get(self._settings.target.service)
         self._life.step("configured")
 
     def _evacuate(self) -> None:
-        """Obey a new order on the data centre; open flows and their work stay."""
+        """Apply an evacuation order or its revocation; open flows keep their work."""
         life = self._holder.life
-        self._holder.life = life.evacuated(self._link.is_evacuated)
+        self._holder.life = life.with_evacuation(self._link.is_evacuated)
 
-    # Control
+    # Control requests and metrics
 
     async def _answer(self, message):
         match message:
@@ -328,14 +332,20 @@
         requests = holder.requests
         uptime = _now() - self._started
         yield gauge("uptime_seconds", "Time since start.", uptime)
-        yield gauge("flows", "Flows held now.", holder.flows)
-        yield gauge("streams", "Streams open now.", holder.streams)
-        yield gauge("requests_in_flight", "Requests at the target.", requests.in_flight)
-        yield gauge("requests_queued", "Requests that wait.", requests.queued)
-        yield gauge("kept_bytes", "Outcomes and incoming bodies.", requests.kept_bytes)
+        yield gauge("flows", "Open flows.", holder.flows)
+        yield gauge("streams", "Open streams.", holder.streams)
+        yield gauge(
+            "requests_in_flight", "Requests running at the target.", requests.in_flight
+        )
+        yield gauge("requests_queued", "Requests waiting for a slot.", requests.queued)
+        yield gauge(
+            "kept_bytes",
+            "Bytes of kept outcomes and request bodies.",
+            requests.kept_bytes,
+        )
         yield gauge(
             "configuration_version",
-            "Configuration version in force.",
+            "Configuration version in use.",
             self._link.configuration.version,
         )
         outcomes = requests.outcomes_by_name
@@ -343,10 +353,13 @@
         drops = dict(holder.dropped_by_reason)
         for reason, count in self._dropped_frames.items():
             drops[reason] = drops.get(reason, 0) + count
-        yield counter("dropped_datagrams", "Datagrams not used.", drops, "reason")
+        yield counter("dropped_datagrams", "Dropped datagrams.", drops, "reason")
         yield from self._sender.readings
         yield counter(
-            "control_bytes", "Control traffic.", self._control_bytes, "direction"
+            "control_bytes",
+            "Bytes of control traffic.",
+            self._control_bytes,
+            "direction",
         )
 
 
--- a/monsoonpier/agent/tokens/replies.py
+++ b/monsoonpier/agent/tokens/replies.py
@@ -1,4 +1,4 @@
-"""The messages by which an agent answers for its requests."""
+"""Builds the messages that report the state of a request to its caller."""
 
 from monsoonpier.agent.tokens.flows import Flow, Request, Stage
 from monsoonpier.wire.codec import MAX_REASON
@@ -14,7 +14,7 @@
 
 
 def progress(flow: Flow, request: Request) -> Progress:
-    """Return which parts of a request have come."""
+    """Return a message that says which parts of a request have been received."""
     if request.stage is not Stage.RECEIVING:
         return Progress(
             flow=flow.id, request=request.id, have_below=request.parts, whole=True
@@ -28,7 +28,7 @@
 
 
 def already_done(flow: Flow, request_id: int) -> Verdict:
-    """Return the verdict on an id below the flow's mark."""
+    """Return the verdict on a request id below the flow's watermark."""
     return Verdict(
         flow=flow.id,
         request=request_id,
@@ -46,7 +46,7 @@
     retry_after_ms: int = 0,
     reopen: bool = False,
 ) -> Verdict:
-    """Return a final verdict, its texts and times within their bounds."""
+    """Return a final verdict; cuts values that exceed the limits of the wire format."""
     return Verdict(
         flow=flow.id,
         request=request.id,
--- a/monsoonpier/agent/tokens/requests.py
+++ b/monsoonpier/agent/tokens/requests.py
@@ -1,8 +1,8 @@
-"""At most once: what to do with a request's datagrams, and how it ends.
+"""Receives, queues and dispatches requests, with at-most-once execution.
 
-A request id is run at most once by an agent instance. Its outcome, a refusal
-included, is kept until the caller's mark has passed it, so that a duplicate
-that arrives later meets the outcome and not the target.
+An agent instance runs a request id at most once. It keeps the outcome, also
+of a rejected request, until the caller's watermark has passed the id. A
+duplicate that arrives later gets the stored outcome and doesn't run again.
 """
 
 import random
@@ -22,16 +22,16 @@
     Shed,
     TimedOut,
 )
-from monsoonpier.agent.tokens.condition import TargetLife
-from monsoonpier.agent.tokens.flows import Answer, Flow, Request, Stage
-from monsoonpier.agent.tokens.limits import (
+from monsoonpier.agent.tokens.admission import (
     Admitted,
-    NotAdmitted,
-    Pressure,
     Queued,
+    Rejected,
+    TargetLoad,
     admit,
     smooth,
 )
+from monsoonpier.agent.tokens.condition import TargetState
+from monsoonpier.agent.tokens.flows import Answer, Flow, Request, Stage
 from monsoonpier.agent.tokens.replies import already_done, progress, verdict
 from monsoonpier.model.service import Service
 from monsoonpier.wire.datagrams import (
@@ -43,22 +43,21 @@
     VerdictKind,
 )
 
-__all__ = ["RequestDesk"]
+__all__ = ["RequestManager"]
 
 WINDOW = 64  # unfinished or unacknowledged requests in a flow
-MAX_KEPT_BYTES = 64 * 1_048_576  # outcomes and incoming bodies, of all flows
-FAIR_TIMES = 3.0  # the usual time of a run; a shorter deadline is no evidence
+MAX_KEPT_BYTES = 64 * 1_048_576  # outcomes and request bodies of all flows
+MIN_TIMEOUT_FACTOR = 3.0  # of the usual run time; a shorter timeout is no failure
 MAX_ANSWER_BYTES = 8 * 1_048_576
-FIRST_PARTS = 16  # answer parts sent without being asked for
-PROGRESS_EVERY = 8  # parts of an upload between two reports of progress
+FIRST_PARTS = 16  # answer parts sent before the caller fetches the others
+PROGRESS_EVERY = 8  # received datagrams between two progress messages
 
 
-class RequestDesk:
-    """Decides on the requests of all flows of one agent.
+class RequestManager:
+    """Manages the requests of all flows of one agent: parts, queue and slots.
 
-    Holds the queue, the slots and the count of kept bytes. It does no I/O:
-    methods return actions, and the present time and random draws are
-    arguments.
+    It does no I/O: methods return actions, and take the current time and the
+    random number generator as arguments.
     """
 
     def __init__(self, *, slots: int) -> None:
@@ -69,69 +68,71 @@
         self._running_by_key: dict[RequestKey, tuple[Flow, Request, float]] = {}
         self._kept_bytes = 0
         self._service_seconds = 0.0
-        self._refusals = 0.0
-        self._refusals_at = 0.0
+        self._rejections = 0.0
+        self._rejections_at = 0.0
         self.outcomes_by_name: dict[str, int] = {}
 
     @property
     def in_flight(self) -> int:
-        """Requests at the target now, aborted ones included until they end."""
+        """The number of running requests, with aborted ones until they end."""
         return len(self._running_by_key)
 
     @property
     def queued(self) -> int:
-        """Requests waiting for a slot."""
+        """The number of requests that wait for a slot."""
         return len(self._queue)
 
     @property
     def kept_bytes(self) -> int:
-        """Bytes of outcomes and incoming bodies that are kept now."""
+        """The bytes of outcomes and request bodies in memory."""
         return self._kept_bytes
 
     @property
     def service_seconds(self) -> float:
-        """The smoothed time of one run; 0 before the first."""
+        """The smoothed duration of a run; 0 before the first."""
         return self._service_seconds
 
-    def _pressure(self) -> Pressure:
-        timed = {}
+    def _load(self) -> TargetLoad:
+        measured = {}
         if self._service_seconds:
-            timed["service_seconds"] = self._service_seconds
-        return Pressure(
+            measured["service_seconds"] = self._service_seconds
+        return TargetLoad(
             slots=self._slots,
             in_flight=self.in_flight,
             queued=self.queued,
-            refusals=self._refusals,
-            refusals_at=self._refusals_at,
-            **timed,
+            rejections=self._rejections,
+            rejections_at=self._rejections_at,
+            **measured,
         )
 
     # Datagrams
 
-    def take_part(
+    def receive_part(
         self,
         flow: Flow,
         part: RequestPart,
         *,
         service: Service | None,
-        life: TargetLife,
+        target_state: TargetState,
         now: float,
         draw: random.Random,
     ) -> tuple[list[Action], list]:
-        """Return the actions and the replies for one part of a request."""
-        if part.request < flow.mark:
+        """Handle one part of a request; return actions and replies."""
+        if part.request < flow.watermark:
             return [], [already_done(flow, part.request)]
-        if part.request >= flow.mark + WINDOW:
-            # A refusal would need a tombstone beyond the bound; a caller that
-            # keeps to the window never gets here.
+        if part.request >= flow.watermark + WINDOW:
+            # A rejection would need a tombstone, and their number is bounded.
+            # A caller that keeps to the window never gets here.
             return [], []
         request = flow.requests_by_id.get(part.request)
         if request is None:
-            request = self._new(flow, part, now=now)
-            refusal = self._refusal(part, service=service, life=life, now=now)
-            if refusal is not None:
-                reason, retry_after, reopen = refusal
-                return [], self._not_run(
+            request = self._add_request(flow, part, now=now)
+            rejection = self._find_rejection(
+                part, service=service, target_state=target_state, now=now
+            )
+            if rejection is not None:
+                reason, retry_after, reopen = rejection
+                return [], self._reject(
                     flow, request, reason, retry_after=retry_after, reopen=reopen
                 )
         if request.stage is Stage.FINISHED:
@@ -141,8 +142,11 @@
         return self._add_part(flow, request, part, service=service, now=now, draw=draw)
 
     def fetch(self, flow: Flow, request_id: int, missing: tuple[int, ...]) -> list:
-        """Return replies for a caller that asks how a request stands."""
-        if request_id < flow.mark:
+        """Return replies with the state or outcome of a request.
+
+        ``missing`` are the answer parts that the caller hasn't received.
+        """
+        if request_id < flow.watermark:
             return [already_done(flow, request_id)]
         request = flow.requests_by_id.get(request_id)
         if request is None:
@@ -154,14 +158,14 @@
     def cancel(
         self, flow: Flow, request_id: int, *, now: float
     ) -> tuple[list[Action], list]:
-        """Return the actions and replies for a request that is given up."""
-        if request_id < flow.mark:
+        """Cancel a request; return actions and replies."""
+        if request_id < flow.watermark:
             return [], [already_done(flow, request_id)]
-        if request_id >= flow.mark + WINDOW:
+        if request_id >= flow.watermark + WINDOW:
             return [], []
         request = flow.requests_by_id.get(request_id)
         if request is None:
-            # The request's own datagrams may still come; they must not run.
+            # Parts of the request may still arrive; it must not run then.
             request = Request(id=request_id, kind="", parts=1, digest=b"", deadline=now)
             flow.requests_by_id[request_id] = request
         match request.stage:
@@ -176,40 +180,40 @@
                 key = RequestKey(flow.id, request_id)
                 return [Abort(key=key)], self.outcome(flow, request)
             case _:
-                self._drop_queued(flow, request)
-                return [], self._not_run(flow, request, "cancelled", retry_after=0.0)
+                self._remove_from_queue(flow, request)
+                return [], self._reject(flow, request, "cancelled", retry_after=0.0)
 
-    def advance_mark(self, flow: Flow, mark: int) -> list[Action]:
-        """Forget what lies below the caller's mark; returns aborts, if any."""
-        if mark <= flow.mark:
+    def advance_watermark(self, flow: Flow, watermark: int) -> list[Action]:
+        """Discard requests below the caller's watermark; abort those that run."""
+        if watermark <= flow.watermark:
             return []
-        flow.mark = mark
+        flow.watermark = watermark
         actions: list[Action] = []
-        for request_id in [i for i in flow.requests_by_id if i < mark]:
-            actions += self._forget(flow, flow.requests_by_id.pop(request_id))
+        for request_id in [i for i in flow.requests_by_id if i < watermark]:
+            actions += self._discard(flow, flow.requests_by_id.pop(request_id))
         return actions
 
-    def forget_flow(self, flow: Flow) -> list[Action]:
-        """Drop every request of a flow that ends."""
+    def discard_flow(self, flow: Flow) -> list[Action]:
+        """Discard every request of a flow that ends; abort those that run."""
         actions: list[Action] = []
         for request in flow.requests_by_id.values():
-            actions += self._forget(flow, request)
+            actions += self._discard(flow, request)
         flow.requests_by_id.clear()
         return actions
 
-    # The target's results
+    # Results from the target and deadlines
 
-    def had_fair_time(self, key: RequestKey) -> bool:
-        """Tell whether a run was given time enough to speak against the target."""
+    def had_enough_time(self, key: RequestKey) -> bool:
+        """Return whether a run had enough time for a timeout to count as a failure."""
         found = self._running_by_key.get(key)
         if found is None:
             return False
-        return found[2] >= FAIR_TIMES * self._service_seconds
+        return found[2] >= MIN_TIMEOUT_FACTOR * self._service_seconds
 
-    def ended(
+    def finish_run(
         self, key: RequestKey, result: RunResult, *, now: float, draw: random.Random
     ) -> tuple[Flow | None, list]:
-        """Take the result of a run; return its flow and the replies to send."""
+        """Handle the result of a run; return its flow and the replies to send."""
         found = self._running_by_key.pop(key, None)
         if found is None:
             return None, []
@@ -221,7 +225,7 @@
                 else result.seconds
             )
         if request.stage is Stage.FINISHED:
-            # Late or cancelled: its outcome is final, the answer is dropped.
+            # The request was late or cancelled; its outcome stays.
             return flow, []
         match result:
             case Answered(status=status, body=body) if len(body) <= MAX_ANSWER_BYTES:
@@ -232,24 +236,24 @@
                 )
                 self._finish(flow, request, answer)
             case Answered():
-                self._unknown(flow, request, "the answer is too large")
+                self._finish_unknown(flow, request, "the answer is too large")
             case Shed(retry_after=retry_after):
-                self._count_refusal(now=now)
-                pressure = self._pressure().retry_after(now=now, draw=draw)
-                return flow, self._not_run(
+                self._count_rejection(now=now)
+                load_delay = self._load().retry_after(now=now, draw=draw)
+                return flow, self._reject(
                     flow,
                     request,
                     "shed by the target",
-                    retry_after=max(retry_after, pressure),
+                    retry_after=max(retry_after, load_delay),
                 )
             case NeverSent(reason=reason):
-                return flow, self._not_run(
+                return flow, self._reject(
                     flow, request, reason, retry_after=1.0, reopen=True
                 )
             case Broke(reason=reason):
-                self._unknown(flow, request, reason)
+                self._finish_unknown(flow, request, reason)
             case Aborted():
-                self._unknown(flow, request, "aborted")
+                self._finish_unknown(flow, request, "aborted")
             case TimedOut():
                 self._finish(
                     flow,
@@ -258,24 +262,30 @@
                 )
         return flow, self.outcome(flow, request)
 
-    def next_runs(self, *, life: TargetLife, now: float) -> tuple[list[Run], list]:
-        """Fill free slots from the queue; return runs and replies by flow."""
+    def next_runs(
+        self, *, target_state: TargetState, now: float
+    ) -> tuple[list[Run], list]:
+        """Dispatch queued requests to free slots.
+
+        Returns:
+            The runs, and the replies to expired requests by flow.
+        """
         runs: list[Run] = []
-        refused: list[tuple[Flow, list]] = []
-        slots = 1 if life.one_at_a_time else self._slots
+        rejected: list[tuple[Flow, list]] = []
+        slots = 1 if target_state.one_at_a_time else self._slots
         while self._queue and self.in_flight < slots:
             key, (flow, request, body) = self._queue.popitem(last=False)
             self._kept_bytes -= len(body)
             if now >= request.deadline:
-                refused.append((flow, self._expired(flow, request)))
+                rejected.append((flow, self._reject_expired(flow, request)))
                 continue
-            runs.append(self._start(flow, request, body, now=now))
-        return runs, refused
+            runs.append(self._dispatch(flow, request, body, now=now))
+        return runs, rejected
 
     def expire(
         self, flow: Flow, request_id: int, *, now: float
     ) -> tuple[list[Action], list]:
-        """Return what follows if the request's deadline has passed."""
+        """End a request if its deadline has passed; return actions and replies."""
         request = flow.requests_by_id.get(request_id)
         if request is None or request.stage is Stage.FINISHED or now < request.deadline:
             return [], []
@@ -284,13 +294,13 @@
             self._finish(flow, request, late)
             abort = Abort(key=RequestKey(flow.id, request_id), late=True)
             return [abort], self.outcome(flow, request)
-        self._drop_queued(flow, request)
-        return [], self._expired(flow, request)
+        self._remove_from_queue(flow, request)
+        return [], self._reject_expired(flow, request)
 
     def outcome(
         self, flow: Flow, request: Request, *, missing: tuple[int, ...] = ()
     ) -> list:
-        """Return the datagrams of a finished request's outcome."""
+        """Return the messages that carry a finished request's outcome."""
         match request.outcome:
             case Answer() as answer:
                 wanted = missing or range(min(answer.parts, FIRST_PARTS))
@@ -303,9 +313,9 @@
                 return [final]
         return []
 
-    # Private steps
+    # Helpers
 
-    def _new(self, flow: Flow, part: RequestPart, *, now: float) -> Request:
+    def _add_request(self, flow: Flow, part: RequestPart, *, now: float) -> Request:
         request = Request(
             id=part.request,
             kind=part.kind,
@@ -316,21 +326,21 @@
         flow.requests_by_id[part.request] = request
         return request
 
-    def _refusal(
+    def _find_rejection(
         self,
         part: RequestPart,
         *,
         service: Service | None,
-        life: TargetLife,
+        target_state: TargetState,
         now: float,
     ) -> tuple[str, float, bool] | None:
-        """Return reason, retry-after and reopen hint if it can't be taken."""
-        if life.is_leaving:
+        """Return reason, retry delay and ``reopen`` if the request is rejected."""
+        if target_state.is_leaving:
             return "leaving", 0.0, True
-        if not life.takes_requests:
-            return life.label, life.retry_after(now=now), True
-        if life.one_at_a_time and self.in_flight:
-            return life.label, life.retry_after(now=now), True
+        if not target_state.takes_requests:
+            return target_state.label, target_state.retry_after(now=now), True
+        if target_state.one_at_a_time and self.in_flight:
+            return target_state.label, target_state.retry_after(now=now), True
         if service is None:
             return "no configuration", 1.0, True
         kind = service.kinds_by_name.get(part.kind)
@@ -339,7 +349,7 @@
         if part.parts * PART_BYTES > service.limits.max_request_bytes + PART_BYTES:
             return "too large", 0.0, False
         if self._kept_bytes + part.parts * PART_BYTES > MAX_KEPT_BYTES:
-            # Outcomes that can be asked for are never dropped for new work.
+            # Outcomes that callers may still fetch are never dropped.
             return "memory is full", 1.0, True
         return None
 
@@ -353,16 +363,18 @@
         now: float,
         draw: random.Random,
     ) -> tuple[list[Action], list]:
+        """Store one part; admit the request once it is complete."""
         if part.digest != request.digest or part.parts != request.parts:
             return [], []
         had_gap = request.has_gap
         if request.add(part.part, part.body):
             self._kept_bytes += len(part.body)
-        if request.whole:
+        if request.is_complete:
             return self._admit(flow, request, service=service, now=now, draw=draw)
-        # A report for each part beyond a gap would set off as many resends.
+        # A progress message for each part after a gap would cause resends of
+        # the same parts.
         is_new_gap = request.has_gap and not had_gap
-        if is_new_gap or request.datagrams % PROGRESS_EVERY == 0:
+        if is_new_gap or request.received_datagrams % PROGRESS_EVERY == 0:
             return [], [progress(flow, request)]
         return [], []
 
@@ -375,15 +387,16 @@
         now: float,
         draw: random.Random,
     ) -> tuple[list[Action], list]:
+        """Check a complete request's digest, then run, queue or reject it."""
         body = request.take_body()
         self._kept_bytes -= len(body)
         if blake2b(body, digest_size=DIGEST_BYTES).digest() != request.digest:
-            return [], self._not_run(
+            return [], self._reject(
                 flow, request, "digest does not match", retry_after=0.0
             )
         queue_limit = self._slots * (service.limits.queue_per_slot if service else 1)
         decision = admit(
-            self._pressure(),
+            self._load(),
             queue_limit=queue_limit,
             time_left=request.deadline - now,
             now=now,
@@ -391,7 +404,7 @@
         )
         match decision:
             case Admitted():
-                run = self._start(flow, request, body, now=now)
+                run = self._dispatch(flow, request, body, now=now)
                 return [run], [progress(flow, request)]
             case Queued():
                 request.stage = Stage.QUEUED
@@ -399,13 +412,16 @@
                 key = RequestKey(flow.id, request.id)
                 self._queue[key] = (flow, request, body)
                 return [], [progress(flow, request)]
-            case NotAdmitted(reason=reason, retry_after=retry_after):
-                self._count_refusal(now=now)
-                return [], self._not_run(
+            case Rejected(reason=reason, retry_after=retry_after):
+                self._count_rejection(now=now)
+                return [], self._reject(
                     flow, request, reason, retry_after=retry_after, reopen=True
                 )
 
-    def _start(self, flow: Flow, request: Request, body: bytes, *, now: float) -> Run:
+    def _dispatch(
+        self, flow: Flow, request: Request, body: bytes, *, now: float
+    ) -> Run:
+        """Take a slot for a request and return its run."""
         request.stage = Stage.RUNNING
         key = RequestKey(flow.id, request.id)
         time_left = request.deadline - now
@@ -413,6 +429,7 @@
         return Run(key=key, kind=request.kind, body=body, time_left=time_left)
 
     def _finish(self, flow: Flow, request: Request, outcome: Verdict | Answer) -> None:
+        """Store a request's outcome and release its parts."""
         self._kept_bytes -= sum(map(len, request.body_by_part.values()))
         request.body_by_part = {}
         request.stage = Stage.FINISHED
@@ -424,7 +441,7 @@
             name = outcome.kind.name.lower()
         self.outcomes_by_name[name] = self.outcomes_by_name.get(name, 0) + 1
 
-    def _not_run(
+    def _reject(
         self,
         flow: Flow,
         request: Request,
@@ -433,7 +450,8 @@
         retry_after: float,
         reopen: bool = False,
     ) -> list:
-        refusal = verdict(
+        """Finish a request with the verdict that it did not run."""
+        rejection = verdict(
             flow,
             request,
             VerdictKind.NOT_RUN,
@@ -441,27 +459,27 @@
             retry_after_ms=int(retry_after * 1000),
             reopen=reopen,
         )
-        self._finish(flow, request, refusal)
-        return [refusal]
+        self._finish(flow, request, rejection)
+        return [rejection]
 
-    def _expired(self, flow: Flow, request: Request) -> list:
-        return self._not_run(flow, request, "deadline passed in queue", retry_after=0.0)
+    def _reject_expired(self, flow: Flow, request: Request) -> list:
+        return self._reject(flow, request, "deadline passed in queue", retry_after=0.0)
 
-    def _unknown(self, flow: Flow, request: Request, reason: str) -> None:
+    def _finish_unknown(self, flow: Flow, request: Request, reason: str) -> None:
         self._finish(flow, request, verdict(flow, request, VerdictKind.UNKNOWN, reason))
 
-    def _count_refusal(self, *, now: float) -> None:
-        self._refusals = self._pressure().refusals_now(now=now) + 1
-        self._refusals_at = now
+    def _count_rejection(self, *, now: float) -> None:
+        self._rejections = self._load().rejections_now(now=now) + 1
+        self._rejections_at = now
 
-    def _drop_queued(self, flow: Flow, request: Request) -> None:
+    def _remove_from_queue(self, flow: Flow, request: Request) -> None:
         entry = self._queue.pop(RequestKey(flow.id, request.id), None)
         if entry is not None:
             self._kept_bytes -= len(entry[2])
 
-    def _forget(self, flow: Flow, request: Request) -> list[Action]:
-        """Drop a request; one that is running keeps its slot until it ends."""
-        self._drop_queued(flow, request)
+    def _discard(self, flow: Flow, request: Request) -> list[Action]:
+        """Discard a request; a running one keeps its slot until it ends."""
+        self._remove_from_queue(flow, request)
         self._kept_bytes -= sum(map(len, request.body_by_part.values()))
         if isinstance(request.outcome, Answer):
             self._kept_bytes -= len(request.outcome.body)
--- a/monsoonpier/agent/tokens/runner.py
+++ b/monsoonpier/agent/tokens/runner.py
@@ -1,4 +1,4 @@
-"""Carries out runs and streams as tasks, and reports how each ended."""
+"""Executes runs and streams as asyncio tasks, and reports their events."""
 
 import asyncio
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunEnded:
-    """A run came to its end at the target."""
+    """A run at the target ended."""
 
     key: RequestKey
     result: RunResult
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ItemRead:
-    """A stream's next item was read from the target."""
+    """An item of a stream was read from the target."""
 
     key: RequestKey
     item: StreamItem
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StreamClosed:
-    """A stream ended at the target; ``broke`` if it was cut."""
+    """A stream at the target ended; ``broke`` is true if its connection broke."""
 
     key: RequestKey
     reason: str
@@ -59,40 +59,47 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Running:
+class _ActiveRun:
+    """A run's task; ``is_late`` is true if it was aborted at its deadline."""
+
     task: asyncio.Task
     is_late: bool = False
 
 
 class Runner:
-    """Owns the tasks at the target; posts an event for each end and item."""
+    """Runs a task for each request and stream at the target.
+
+    Calls ``on_event`` for each item and each end.
+    """
 
-    def __init__(self, *, client: TargetClient, post: Callable[[Event], None]) -> None:
+    def __init__(
+        self, *, client: TargetClient, on_event: Callable[[Event], None]
+    ) -> None:
         self._client = client
-        self._post = post
-        self._running_by_key: dict[RequestKey, _Running] = {}
+        self._on_event = on_event
+        self._active_by_key: dict[RequestKey, _ActiveRun] = {}
         self._streams_by_key: dict[RequestKey, asyncio.Task] = {}
         self._credit_by_key: dict[RequestKey, asyncio.Semaphore] = {}
 
     def run(self, run: Run) -> None:
-        """Begin a run."""
+        """Start a run."""
         task = asyncio.create_task(self._run(run))
-        self._running_by_key[run.key] = _Running(task=task)
+        self._active_by_key[run.key] = _ActiveRun(task=task)
 
     def abort(self, abort: Abort) -> None:
-        """Cut a run; its end is still reported."""
-        running = self._running_by_key.get(abort.key)
-        if running is not None:
-            running.is_late = abort.late
-            running.task.cancel()
+        """Cancel a run; its end is still reported."""
+        active = self._active_by_key.get(abort.key)
+        if active is not None:
+            active.is_late = abort.late
+            active.task.cancel()
 
     def start_stream(self, start: StartStream) -> None:
-        """Begin to read a stream."""
+        """Start reading a stream."""
         self._credit_by_key[start.key] = asyncio.Semaphore(STREAM_WINDOW)
         self._streams_by_key[start.key] = asyncio.create_task(self._stream(start))
 
     def credit(self, credit: Credit) -> None:
-        """Let a stream's reader read on."""
+        """Allow a stream's reader to read more items."""
         semaphore = self._credit_by_key.get(credit.key)
         if semaphore is not None:
             for _ in range(credit.items):
@@ -106,8 +113,8 @@
             task.cancel()
 
     async def stop(self) -> None:
-        """Cut everything that is left."""
-        tasks = [running.task for running in self._running_by_key.values()]
+        """Cancel all runs and streams."""
+        tasks = [active.task for active in self._active_by_key.values()]
         tasks += self._streams_by_key.values()
         for task in tasks:
             task.cancel()
@@ -119,9 +126,9 @@
             request_id = f"{run.key.flow.hex()}-{run.key.request}"
             result = await self._client.run(run, request_id=request_id)
         except asyncio.CancelledError:
-            running = self._running_by_key[run.key]
-            result = ABORTED_BY_DEADLINE if running.is_late else ABORTED_BY_CALLER
-        self._running_by_key.pop(run.key, None)
+            active = self._active_by_key[run.key]
+            result = ABORTED_BY_DEADLINE if active.is_late else ABORTED_BY_CALLER
+        self._active_by_key.pop(run.key, None)
         if isinstance(result, TimedOut | Broke):
             _log.warning(
                 "run without an answer",
@@ -130,16 +137,16 @@
                 kind=run.kind,
                 result=type(result).__name__,
             )
-        self._post(RunEnded(key=run.key, result=result))
+        self._on_event(RunEnded(key=run.key, result=result))
 
     async def _stream(self, start: StartStream) -> None:
         credit = self._credit_by_key[start.key]
         try:
             async for item in self._client.stream(start):
-                # Without credit nothing is read on: a slow caller slows the
-                # target down instead of filling this process.
+                # Without credit no more items are read, so that a slow caller
+                # slows the target down instead of filling the memory here.
                 await credit.acquire()
-                self._post(ItemRead(key=start.key, item=item))
+                self._on_event(ItemRead(key=start.key, item=item))
             closed = StreamClosed(key=start.key, reason="ended", broke=False)
         except OSError as error:
             _log.info(
@@ -149,4 +156,4 @@
                 reason=str(error),
             )
             closed = StreamClosed(key=start.key, reason=str(error), broke=True)
-        self._post(closed)
+        self._on_event(closed)
--- a/monsoonpier/agent/tokens/streams.py
+++ b/monsoonpier/agent/tokens/streams.py
@@ -1,4 +1,4 @@
-"""Streams: items sent again until acknowledged, within a bounded window."""
+"""Delivers stream items in a bounded window; resends them until acknowledged."""
 
 from monsoonpier.agent.tokens.actions import (
     Action,
@@ -15,7 +15,7 @@
     StreamOpen,
 )
 
-__all__ = ["STREAM_WINDOW", "StreamDesk"]
+__all__ = ["STREAM_WINDOW", "StreamManager"]
 
 STREAM_WINDOW = 32  # items read from the target and not yet acknowledged
 STREAMS_PER_FLOW = 8
@@ -23,15 +23,15 @@
 MAX_RESEND_SECONDS = 1.6
 
 
-class StreamDesk:
-    """Decides on the streams of all flows of one agent; does no I/O."""
+class StreamManager:
+    """Manages the streams of all flows of one agent; does no I/O."""
 
     def __init__(self) -> None:
         self.open_streams = 0
 
     def open(self, flow: Flow, message: StreamOpen, *, now: float) -> list[Action]:
-        """Start a stream; a duplicate changes nothing."""
-        if message.request in flow.streams_by_id or message.request < flow.mark:
+        """Start a stream; ignore duplicates, and streams above the flow's limit."""
+        if message.request in flow.streams_by_id or message.request < flow.watermark:
             return []
         if len(flow.streams_by_id) >= STREAMS_PER_FLOW:
             return []
@@ -45,10 +45,10 @@
         key = RequestKey(flow.id, message.request)
         return [StartStream(key=key, kind=message.kind, after=message.after)]
 
-    def item(
+    def add_item(
         self, flow: Flow, stream_id: int, number: int, body: bytes, *, now: float
     ) -> tuple[list[Action], list]:
-        """Take one item from the target; return actions and replies."""
+        """Send one item from the target; return actions and replies."""
         stream = flow.streams_by_id.get(stream_id)
         if stream is None or stream.end is not None or number <= stream.last:
             return [], []
@@ -77,7 +77,7 @@
         now: float,
         reopen: bool = False,
     ) -> tuple[list[Action], list]:
-        """End a stream after its last item; it is repeated until acknowledged."""
+        """End a stream after its last item; the end is resent until acknowledged."""
         stream = flow.streams_by_id.get(stream_id)
         if stream is None or stream.end is not None:
             return [], []
@@ -95,23 +95,23 @@
     def acknowledge(
         self, flow: Flow, stream_id: int, up_to: int, *, now: float
     ) -> list[Action]:
-        """Drop acknowledged items and let as many more be read."""
+        """Release acknowledged items and let the reader read as many more."""
         stream = flow.streams_by_id.get(stream_id)
         if stream is None:
             return []
-        taken = [number for number in stream.unacked_by_number if number <= up_to]
-        for number in taken:
+        acked = [number for number in stream.unacked_by_number if number <= up_to]
+        for number in acked:
             del stream.unacked_by_number[number]
-        if taken:
-            stream.acked = taken[-1]
+        if acked:
+            stream.acked = acked[-1]
             stream.resend_after = RESEND_SECONDS
             stream.resend_at = now + RESEND_SECONDS
-        if stream.end is not None or not taken:
+        if stream.end is not None or not acked:
             return []
-        return [Credit(key=RequestKey(flow.id, stream_id), items=len(taken))]
+        return [Credit(key=RequestKey(flow.id, stream_id), items=len(acked))]
 
     def resend(self, flow: Flow, stream: Stream, *, now: float) -> list:
-        """Return what is due again; the next one takes another balancer."""
+        """Return the items or the end to resend now, by another balancer."""
         if now < stream.resend_at:
             return []
         due = list(stream.unacked_by_number.values())
@@ -124,14 +124,14 @@
         return due
 
     def close(self, flow: Flow, stream_id: int) -> list[Action]:
-        """Drop a stream that its caller has ended."""
+        """Close a stream that its caller has ended."""
         if flow.streams_by_id.pop(stream_id, None) is None:
             return []
         self.open_streams -= 1
         return [EndStream(key=RequestKey(flow.id, stream_id))]
 
-    def forget_flow(self, flow: Flow) -> list[Action]:
-        """Drop every stream of a flow that ends."""
+    def discard_flow(self, flow: Flow) -> list[Action]:
+        """Close every stream of a flow that ends."""
         actions: list[Action] = []
         for stream_id in list(flow.streams_by_id):
             actions += self.close(flow, stream_id)
--- a/monsoonpier/agent/tokens/target_client.py
+++ b/monsoonpier/agent/tokens/target_client.py
@@ -1,8 +1,9 @@
-"""Speaks HTTP/1.1 to the one target: work, streams, health and load.
+"""HTTP/1.1 client of the agent's target: requests, streams and health.
 
 The target's interface: ``POST /work/<kind>`` with ``X-Request-Id`` and
-``X-Deadline-Ms``; ``GET /streams/<kind>?after=N`` answers one JSON object a
-line with ``n`` and ``data``; ``GET /health``. A closed connection cancels.
+``X-Deadline-Ms``; ``GET /streams/<kind>?after=N``, answered by one JSON object
+a line with ``n`` and ``data``; ``GET /health``. Closing the connection cancels
+a request.
 """
 
 import json
@@ -24,7 +25,7 @@
     TimedOut,
 )
 
-__all__ = ["HealthHint", "StreamItem", "TargetClient"]
+__all__ = ["HealthStatus", "StreamItem", "TargetClient"]
 
 CONNECT_SECONDS = 1.0
 HEALTH_SECONDS = 1.0
@@ -34,8 +35,8 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class HealthHint:
-    """What the target says of itself; it may lag or mislead."""
+class HealthStatus:
+    """The target's answer to a health check; it may be stale or wrong."""
 
     healthy: bool
     draining: bool = False
@@ -50,15 +51,15 @@
 
 
 class TargetClient:
-    """Owns the connections to the target."""
+    """Sends requests to the target and reads its answers and streams."""
 
     def __init__(self, *, url: str) -> None:
         self._url = url
         self._session: aiohttp.ClientSession | None = None
 
-    def _client(self) -> aiohttp.ClientSession:
+    def _http_session(self) -> aiohttp.ClientSession:
         if self._session is None:
-            # Limits are the agent's own decision, not the connector's.
+            # The agent limits the requests in flight itself.
             connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=5)
             self._session = aiohttp.ClientSession(
                 connector=connector, read_bufsize=STREAM_BUFFER_BYTES
@@ -66,20 +67,20 @@
         return self._session
 
     async def run(self, run: Run, *, request_id: str) -> RunResult:
-        """Hand one request over and return how it ended."""
+        """Send one request to the target and return its result."""
         timeout = aiohttp.ClientTimeout(
             total=max(0.001, run.time_left), sock_connect=CONNECT_SECONDS
         )
         headers = {
             "X-Request-Id": request_id,
             "X-Deadline-Ms": str(int(run.time_left * 1000)),
-            # A connection that the target closes while idle would break a
-            # request that never ran, and be taken for one that may have.
+            # If the target closed an idle connection as a request is sent on
+            # it, a request that didn't run would count as one that may have.
             "Connection": "close",
         }
         started = time.monotonic()
         try:
-            async with self._client().post(
+            async with self._http_session().post(
                 f"{self._url}/work/{run.kind}",
                 data=run.body,
                 headers=headers,
@@ -95,18 +96,19 @@
         except TimeoutError:
             return TimedOut()
         except (aiohttp.ClientError, OSError) as error:
-            return Broke(reason=f"connection to the target broke: {_name(error)}")
+            return Broke(reason=f"connection to the target broke: {_error_name(error)}")
 
     async def stream(self, start: StartStream) -> AsyncIterator[StreamItem]:
         """Yield a stream's items.
 
         Raises:
-            OSError: If the connection can't be made, or breaks.
+            OSError: If the connection can't be made, or breaks, or the target
+                answers with another status than 200.
         """
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_SECONDS)
         url = f"{self._url}/streams/{start.kind}?after={start.after}"
         try:
-            async with self._client().get(url, timeout=timeout) as response:
+            async with self._http_session().get(url, timeout=timeout) as response:
                 if response.status != 200:
                     raise OSError(f"stream answered {response.status}")
                 async for line in response.content:
@@ -114,21 +116,21 @@
                     if item is not None:
                         yield item
         except aiohttp.ClientError as error:
-            raise OSError(f"stream broke: {_name(error)}") from error
+            raise OSError(f"stream broke: {_error_name(error)}") from error
 
-    async def health(self) -> HealthHint:
-        """Ask the target for its health; an answer is only a hint."""
+    async def health(self) -> HealthStatus:
+        """Check the target's health; no answer counts as unhealthy."""
         timeout = aiohttp.ClientTimeout(total=HEALTH_SECONDS)
         try:
-            async with self._client().get(
+            async with self._http_session().get(
                 f"{self._url}/health", timeout=timeout
             ) as response:
                 text = await response.text()
-                return HealthHint(
+                return HealthStatus(
                     healthy=response.status == 200, draining="draining" in text
                 )
         except (aiohttp.ClientError, TimeoutError, OSError, UnicodeDecodeError):
-            return HealthHint(healthy=False)
+            return HealthStatus(healthy=False)
 
     async def close(self) -> None:
         """Close all connections."""
@@ -152,10 +154,10 @@
         return None
 
 
-def _name(error: Exception) -> str:
+def _error_name(error: Exception) -> str:
     return type(error).__name__
 
 
-# A run that the agent itself aborts ends as one of these.
+# Results of runs that the agent aborts.
 ABORTED_BY_CALLER = Aborted()
 ABORTED_BY_DEADLINE = TimedOut()
