--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Starts a stand-in: ``python -m standins platform|target|fabric``."""
+"""Runs a test double: ``python -m standins platform|target|fabric``."""
 
 import asyncio
 import random
@@ -47,7 +47,7 @@
     cold: bool = False,
     records: Path | None = None,
 ) -> None:
-    """Serve as one target."""
+    """Serve one target."""
 
     async def run() -> None:
         stand_in = TargetStandIn(
@@ -66,7 +66,7 @@
 
 @app.command
 def fabric(*, listen: str, vip: list[str], seed: int = 0) -> None:
-    """Spray packets of the virtual addresses over balancers."""
+    """Distribute packets for the virtual addresses over balancers."""
 
     async def run() -> None:
         vips = tuple(Address.parse(text) for text in vip)
--- a/standins/packets/__init__.py
+++ b/standins/packets/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the users' platform: its store, a target and a caller of packets."""
+"""Test doubles for flows without a token: store, target, callers and fabric."""
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes that a test or the soak starts, and only those, ended by their pid."""
+"""Starts processes for tests and stops them by their pid."""
 
 import asyncio
 import os
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Node:
-    """One process that was started here."""
+    """A process started by `spawn`."""
 
     name: str
     ip: str
@@ -24,21 +24,25 @@
 
     @property
     def pid(self) -> int:
-        """The process's id."""
+        """The process id."""
         return self.process.pid
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process has not exited."""
         return self.process.returncode is None
 
     def signal(self, number: int) -> None:
-        """Send a signal, unless the process has ended."""
+        """Send a signal, unless the process has exited."""
         if self.is_running:
             self.process.send_signal(number)
 
     async def wait(self, seconds: float = STOP_SECONDS) -> int:
-        """Return the exit status; kill the process if it takes too long."""
+        """Wait for the process to exit and return its status.
+
+        Raises:
+            TimeoutError: If it runs longer than ``seconds``; it is killed.
+        """
         try:
             async with asyncio.timeout(seconds):
                 return await self.process.wait()
@@ -48,7 +52,7 @@
             raise TimeoutError(f"{self.name} did not stop") from None
 
     async def stop(self) -> int:
-        """Ask it to leave and wait until it has."""
+        """Send SIGTERM and return the exit status."""
         self.signal(signal.SIGTERM)
         return await self.wait()
 
@@ -71,7 +75,7 @@
 
 
 async def kill_all(nodes: list[Node]) -> None:
-    """End processes at once, stopped ones too."""
+    """Kill processes, including those that SIGSTOP has paused."""
     for node in nodes:
         if node.is_running:
             node.signal(signal.SIGCONT)
