--- a/monsoonpier/agent/tokens/actions.py
+++ b/monsoonpier/agent/tokens/actions.py
@@ -46,7 +46,7 @@
 class ReturnOpen:
     """Return an OPEN to the balancer, because this target rejects new flows.
 
-    ``tried`` names the targets that the balancer has tried before.
+    ``tried`` names the targets that the balancer has attempted before.
     """
 
     via: tuple[str, int]
@@ -73,7 +73,7 @@
     """Cancel a request by closing its connection to the target.
 
     ``late`` is true if the deadline passed, which counts as a failure of the
-    target, and false if the caller cancelled.
+    target, and false if the caller cancelled or the flow ended.
     """
 
     key: RequestKey
@@ -147,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Aborted:
-    """The caller cancelled before an answer came; the request may have run."""
+    """The request was cancelled before an answer came; it may have run."""
 
 
 RunResult = Answered | Shed | NeverSent | Broke | TimedOut | Aborted
--- a/monsoonpier/agent/tokens/admission.py
+++ b/monsoonpier/agent/tokens/admission.py
@@ -57,7 +57,7 @@
         return self.rejections * 0.5 ** (age / REJECTIONS_HALF_LIFE_SECONDS)
 
     def retry_after(self, *, now: float, draw: random.Random) -> float:
-        """Return the expected seconds until the present work is done, with jitter."""
+        """Return the expected seconds until the current work is done, with jitter."""
         ahead = self.in_flight + self.queued + self.rejections_now(now=now)
         seconds = ahead * self.service_seconds / self.slots
         jittered = seconds * draw.uniform(0.5, 1.5)
--- a/monsoonpier/agent/tokens/condition.py
+++ b/monsoonpier/agent/tokens/condition.py
@@ -23,7 +23,7 @@
 NEVER = float("inf")
 EVACUATED = "data centre evacuated"
 MIN_RETRY_SECONDS = 0.05
-UNDATED_RETRY_SECONDS = 1.0  # if it is not known when the state ends
+UNDATED_RETRY_SECONDS = 1.0  # if the end of the state is unknown
 _CONDITIONS_BY_STATE = {
     "starting": Condition.STARTING,
     "serving": Condition.SERVING,
@@ -39,7 +39,8 @@
 class TargetLifecycle:
     """The target's state, its failure counts, and when the state expires.
 
-    ``until`` and ``serving_since`` are monotonic times in seconds.
+    ``silent_runs`` counts consecutive runs without an answer. ``until`` and
+    ``serving_since`` are monotonic times in seconds.
     ``is_evacuated`` is true while an evacuation order for the data centre of
     the target forbids new work.
     """
@@ -133,15 +134,19 @@
         return self._step("healthy", now=now)
 
     def refused(self, *, now: float) -> "TargetLifecycle":
-        """Return the state after a connection was refused."""
+        """Return the state after no connection to the target could be made."""
         return self._step("refused", now=now)
 
     def shed(self, *, retry_after: float, now: float) -> "TargetLifecycle":
-        """Return the state after a 503; ``retry_after`` is in seconds."""
+        """Return the state after a 503 answer: shedding for ``retry_after`` seconds."""
         return replace(self._step("shed", now=now), until=now + retry_after)
 
     def unanswered(self, *, now: float) -> "TargetLifecycle":
-        """Return the state after a run ended without an answer."""
+        """Return the state after a run ended without an answer.
+
+        A failed probe, or several such runs in a row, make the target
+        unresponsive.
+        """
         after = replace(self, silent_runs=self.silent_runs + 1)
         if after.silent_runs < SILENT_RUNS and not self.one_at_a_time:
             return after
@@ -169,7 +174,7 @@
         return self._step("finished", now=now)
 
     def advance(self, *, now: float) -> "TargetLifecycle":
-        """Return the state at ``now``, after shedding and unresponsive expire."""
+        """Return the state at ``now``; expired shedding and unresponsive states end."""
         if now < self.until:
             return self
         advanced = self._step("shed_over", now=now)._step("try_again", now=now)
--- a/monsoonpier/agent/tokens/flows.py
+++ b/monsoonpier/agent/tokens/flows.py
@@ -1,4 +1,4 @@
-"""Mutable records of flows, requests and streams that an agent keeps."""
+"""Records of an agent's flows, requests, answers and streams."""
 
 import itertools
 from enum import IntEnum
@@ -13,7 +13,7 @@
 
 __all__ = ["Answer", "Flow", "Request", "Stage", "Stream"]
 
-MAX_VIAS = 3  # balancers kept per flow, so that resends can use another one
+MAX_VIAS = 3  # balancers stored per flow, so that resends can use another one
 
 
 class Stage(IntEnum):
@@ -26,7 +26,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """A complete answer of the target, kept until the caller acknowledges it."""
+    """A complete answer of the target, stored until the caller acknowledges it."""
 
     status: int
     body: bytes
@@ -81,14 +81,14 @@
         """Whether an earlier part than the highest one is missing."""
         return self.highest >= self.received_below
 
-    def missing(self, most: int) -> tuple[int, ...]:
-        """Return the numbers of up to ``most`` missing parts, in order."""
+    def missing(self, limit: int) -> tuple[int, ...]:
+        """Return the numbers of up to ``limit`` missing parts, in order."""
         missing = (
             part
             for part in range(self.received_below, self.highest)
             if part not in self.body_by_part
         )
-        return tuple(itertools.islice(missing, most))
+        return tuple(itertools.islice(missing, limit))
 
     def add(self, part: int, body: bytes) -> bool:
         """Store one part; return whether it was new."""
@@ -131,7 +131,7 @@
 
     The caller has finished with all request ids below ``watermark``. ``vias``
     are the balancers that forwarded its packets, the latest first;
-    ``opening`` tells this flow from earlier ones with the same id.
+    ``opening`` distinguishes this flow from earlier ones with the same id.
     """
 
     id: bytes
@@ -170,6 +170,6 @@
         del vias[MAX_VIAS:]
 
     def rotate_via(self) -> None:
-        """Use another balancer from now on: the current one may be gone."""
+        """Use another balancer from now on; the current one may have failed."""
         if len(self.vias) > 1:
             self.vias.append(self.vias.pop(0))
--- a/monsoonpier/agent/tokens/owner.py
+++ b/monsoonpier/agent/tokens/owner.py
@@ -1,4 +1,4 @@
-"""The agent's logic without I/O: takes packets, results and time, returns actions."""
+"""Owns a target's flows, without I/O: handles packets, results and timers."""
 
 import heapq
 import random
@@ -43,9 +43,9 @@
 UNUSED_FLOW_SECONDS = 10.0  # expiry of a flow without packets after its OPEN
 IDLE_FLOW_SECONDS = 60.0
 MIN_EXPIRY_SECONDS = 1.0  # extension for an expired flow with work in flight
-MOVE_EVERY_SECONDS = 0.5  # between two requests to move
-LINGER_SECONDS = 5.0  # how long a draining agent waits for silent callers
-RETURN_RETRY_MS = 1_000  # retry delay of a rejected OPEN
+GO_AWAY_INTERVAL_SECONDS = 0.5
+LINGER_SECONDS = 5.0  # wait of a draining agent for idle callers to close flows
+REJECTED_OPEN_RETRY_MS = 1_000
 
 
 class FlowOwner:
@@ -79,7 +79,7 @@
         self.dropped_by_reason: Counter[str] = Counter()
         self.rejected_opens = 0
 
-    # Readings for the process and its metrics
+    # Values for the process and its metrics
 
     @property
     def flows(self) -> int:
@@ -110,7 +110,11 @@
         )
 
     def is_finished(self, *, now: float) -> bool:
-        """Return whether a draining agent has no work left."""
+        """Return whether a draining agent may shut down.
+
+        It waits for all work and, until the drain deadline, for callers to close
+        their flows.
+        """
         if self._drain_deadline is None or self._requests.in_flight:
             return False
         if any(flow.is_busy for flow in self._flows_by_id.values()):
@@ -170,7 +174,7 @@
                         payload=frame.payload,
                         tried=frame.tried,
                         reason=reason,
-                        retry_after_ms=RETURN_RETRY_MS,
+                        retry_after_ms=REJECTED_OPEN_RETRY_MS,
                     )
                 ]
             self._open_count += 1
@@ -187,7 +191,7 @@
         token = self._token.with_opening(flow.opening)
         sealed = seal_token(token, flow=message.flow, keys=self._keys)
         flow.update_path(via, ip=frame.ip, port=frame.port)
-        return self._replies(flow, [Opened(flow=message.flow, token=sealed)])
+        return self._make_replies(flow, [Opened(flow=message.flow, token=sealed)])
 
     def _flow_rejection_reason(self) -> str:
         """Return why new flows are rejected, or an empty string if they aren't."""
@@ -218,17 +222,17 @@
                 if is_new and message.request in flow.requests_by_id:
                     deadline = flow.requests_by_id[message.request].deadline
                     self._set_timer(deadline, flow.id, message.request)
-                return actions + more + self._replies(flow, replies)
+                return actions + more + self._make_replies(flow, replies)
             case Fetch():
                 actions = self._requests.advance_watermark(flow, message.acked)
                 replies = self._requests.fetch(flow, message.request, message.missing)
-                return actions + self._replies(flow, replies)
+                return actions + self._make_replies(flow, replies)
             case Cancel():
                 actions = self._requests.advance_watermark(flow, message.acked)
                 if message.request in flow.streams_by_id:
                     return actions + self._streams.close(flow, message.request)
                 more, replies = self._requests.cancel(flow, message.request, now=now)
-                return actions + more + self._replies(flow, replies)
+                return actions + more + self._make_replies(flow, replies)
             case StreamOpen():
                 actions = self._requests.advance_watermark(flow, message.acked)
                 return actions + self._open_stream(flow, message, now=now)
@@ -241,7 +245,7 @@
                 replies = [Pong(flow=flow.id)]
                 if self.lifecycle.is_leaving:
                     replies.append(GoAway(flow=flow.id))
-                return actions + self._replies(flow, replies)
+                return actions + self._make_replies(flow, replies)
             case Close():
                 return self._end_flow(flow)
         return self._count_drop("unexpected")
@@ -251,7 +255,7 @@
     ) -> list[Action]:
         """Start a stream, or end it at once if there is none of its kind."""
         if self.lifecycle.is_leaving:
-            return self._replies(flow, [GoAway(flow=flow.id)])
+            return self._make_replies(flow, [GoAway(flow=flow.id)])
         kind = self.service and self.service.kinds_by_name.get(message.kind)
         if not kind or not kind.stream:
             actions = self._streams.open(flow, message, now=now)
@@ -261,7 +265,7 @@
                 flow, message.request, "no such stream", now=now
             )
             self._set_resend_timer(flow, message.request)
-            return self._replies(flow, replies)
+            return self._make_replies(flow, replies)
         return self._streams.open(flow, message, now=now)
 
     # Results from the target
@@ -269,19 +273,19 @@
     def run_ended(
         self, key: RequestKey, result: RunResult, *, now: float, draw: random.Random
     ) -> list[Action]:
-        """Handle the result of a request that was dispatched to the target."""
+        """Record the result of a request, reply to its caller and refill the slot."""
         had_enough_time = self._requests.had_enough_time(key)
         self.lifecycle = self.lifecycle.after_run(
             result, had_enough_time=had_enough_time, now=now
         )
         flow, replies = self._requests.finish_run(key, result, now=now, draw=draw)
-        actions = self._replies(flow, replies) if flow else []
+        actions = self._make_replies(flow, replies) if flow else []
         return actions + self._fill_slots(now=now)
 
-    def stream_item(
+    def stream_item_read(
         self, key: RequestKey, number: int, body: bytes, *, now: float
     ) -> list[Action]:
-        """Handle one item that the target sent on a stream."""
+        """Send an item that was read from the target to the stream's caller."""
         flow = self._flows_by_id.get(key.flow)
         if flow is None:
             return []
@@ -290,12 +294,12 @@
         )
         if replies:
             self._set_resend_timer(flow, key.request)
-        return actions + self._replies(flow, replies)
+        return actions + self._make_replies(flow, replies)
 
     def stream_ended(
         self, key: RequestKey, reason: str, *, reopen: bool, now: float
     ) -> list[Action]:
-        """Handle the end of a stream at the target."""
+        """Send the end of a stream at the target to the stream's caller."""
         flow = self._flows_by_id.get(key.flow)
         if flow is None:
             return []
@@ -303,12 +307,12 @@
             flow, key.request, reason, now=now, reopen=reopen
         )
         self._set_resend_timer(flow, key.request)
-        return actions + self._replies(flow, replies)
+        return actions + self._make_replies(flow, replies)
 
     # Draining and timers
 
     def leave(self, *, now: float) -> list[Action]:
-        """Start draining: reject new work and ask callers to move their flows."""
+        """Start draining: reject new work and ask callers to use other agents."""
         if self._drain_deadline is not None:
             return []
         self.lifecycle = self.lifecycle.leave(now=now)
@@ -338,12 +342,15 @@
         return actions + self._fill_slots(now=now)
 
     def _handle_timer(self, flow: Flow, number: int, *, now: float) -> list[Action]:
-        """Handle one timer; ``number`` is a request or stream id, or 0 for the flow."""
+        """End an expired flow or request, or resend a stream's items.
+
+        ``number`` is the id of the request or stream; 0 means the flow itself.
+        """
         if number == 0:
             if now >= flow.expires and not flow.is_working:
                 return self._end_flow(flow)
             if now >= flow.expires:
-                # A silent caller doesn't abort its work in flight.
+                # A flow stays open while its requests are queued or running.
                 flow.expires = now + MIN_EXPIRY_SECONDS
             self._set_timer(flow.expires, flow.id, 0)
             return []
@@ -353,26 +360,26 @@
             replies = self._streams.resend(flow, stream, now=now)
             if stream.unacked_by_number or stream.end is not None:
                 self._set_resend_timer(flow, number)
-            return self._replies(flow, replies)
+            return self._make_replies(flow, replies)
         actions, replies = self._requests.expire(flow, number, now=now)
-        return actions + self._replies(flow, replies)
+        return actions + self._make_replies(flow, replies)
 
     def _fill_slots(self, *, now: float) -> list[Action]:
         """Dispatch queued requests to free slots."""
         runs, rejected = self._requests.next_runs(lifecycle=self.lifecycle, now=now)
         actions: list[Action] = list(runs)
         for flow, replies in rejected:
-            actions += self._replies(flow, replies)
+            actions += self._make_replies(flow, replies)
         return actions
 
     def _send_go_away(self, *, now: float) -> list[Action]:
-        """Ask the callers of all flows to move."""
-        self._next_go_away_at = now + MOVE_EVERY_SECONDS
+        """Ask the callers of all flows to open flows at other agents."""
+        self._next_go_away_at = now + GO_AWAY_INTERVAL_SECONDS
         actions: list[Action] = []
         for flow in self._flows_by_id.values():
-            # The balancer used last may be gone and drop each message.
+            # The balancer used last may have failed.
             flow.rotate_via()
-            actions += self._replies(flow, [GoAway(flow=flow.id)])
+            actions += self._make_replies(flow, [GoAway(flow=flow.id)])
         return actions
 
     def _end_flow(self, flow: Flow) -> list[Action]:
@@ -389,8 +396,8 @@
     def _set_timer(self, when: float, flow_id: bytes, number: int) -> None:
         heapq.heappush(self._timers, (when, flow_id, number))
 
-    def _replies(self, flow: Flow, messages: Iterable) -> list[Action]:
-        """Return actions that send messages by the flow's latest balancer."""
+    def _make_replies(self, flow: Flow, messages: Iterable) -> list[Action]:
+        """Return actions that send messages through the flow's latest balancer."""
         via = flow.vias[0]
         return [
             Reply(via=via, ip=flow.ip, port=flow.port, message=message)
--- a/monsoonpier/agent/tokens/process.py
+++ b/monsoonpier/agent/tokens/process.py
@@ -1,4 +1,4 @@
-"""The agent's process: runs the sockets, tasks and timers around its logic."""
+"""The agent's process: connects its logic to sockets, the target and a clock."""
 
 import asyncio
 import os
@@ -59,8 +59,8 @@
 TICK_SECONDS = 0.05
 HEALTH_SECONDS = 1.0
 INSTANCE_BYTES = 8
-GONE_ANNOUNCEMENTS = 3  # datagrams get lost, so the gone target is announced again
-GONE_ANNOUNCEMENT_SECONDS = 0.1  # between two of these announcements
+GONE_ANNOUNCEMENTS = 3  # repeated, because datagrams may be lost
+GONE_ANNOUNCEMENT_SECONDS = 0.1  # between two announcements
 _log = structlog.get_logger("monsoonpier.agent.tokens.process")
 
 
@@ -103,7 +103,9 @@
         self._runner = Runner(client=self._client, on_event=self._handle_event)
         self._socket: UdpSocket | None = None
         self._control = ControlServer(
-            address=settings.control, keys=settings.keys, handler=self._answer
+            address=settings.control,
+            keys=settings.keys,
+            handler=self._handle_control_request,
         )
         self._web = WebServer(
             address=settings.metrics,
@@ -137,7 +139,7 @@
         await self._stop()
 
     async def _drain_and_finish(self) -> None:
-        """Wait for a shutdown, drain, and announce that the target is gone."""
+        """Wait for a shutdown request, drain, and announce that the target is gone."""
         await self._life.wait_for_shutdown()
         self._shutdown_requested = True
         self._execute(self._owner.leave(now=_now()))
@@ -191,7 +193,7 @@
                 case StartStream():
                     self._runner.start_stream(action)
                 case Credit():
-                    self._runner.credit(action)
+                    self._runner.add_credit(action)
                 case EndStream():
                     self._runner.end_stream(action)
                 case ReturnOpen():
@@ -234,7 +236,7 @@
                     key, result, now=_now(), draw=self._draw
                 )
             case ItemRead(key=key, item=item):
-                actions = self._owner.stream_item(
+                actions = self._owner.stream_item_read(
                     key, item.number, item.body, now=_now()
                 )
             case StreamClosed(key=key, reason=reason, broke=broke):
@@ -291,7 +293,7 @@
         )
 
     def _handle_heartbeat_ack(self, ack: HeartbeatAck) -> None:
-        """Handle a heartbeat's reply; drain while the target is not allowed."""
+        """Handle a heartbeat's reply; drain if the target isn't allowed to serve."""
         previous = self._owner.lifecycle.label
         self._is_allowed = self._link.handle_ack(ack)
         if not self._is_allowed:
@@ -305,13 +307,13 @@
         self._life.step("configured")
 
     def _evacuate(self) -> None:
-        """Apply an evacuation order or its revocation; open flows keep their work."""
-        life = self._owner.lifecycle
-        self._owner.lifecycle = life.with_evacuation(self._link.is_evacuated)
+        """Apply an evacuation order or its revocation; admitted requests continue."""
+        lifecycle = self._owner.lifecycle
+        self._owner.lifecycle = lifecycle.with_evacuation(self._link.is_evacuated)
 
     # Control requests and metrics
 
-    async def _answer(self, message):
+    async def _handle_control_request(self, message):
         match message:
             case StatusRequest():
                 return StatusReply(
@@ -340,7 +342,7 @@
         yield gauge("requests_queued", "Requests waiting for a slot.", requests.queued)
         yield gauge(
             "kept_bytes",
-            "Bytes of kept outcomes and request bodies.",
+            "Bytes of stored outcomes and request bodies.",
             requests.kept_bytes,
         )
         yield gauge(
--- a/monsoonpier/agent/tokens/requests.py
+++ b/monsoonpier/agent/tokens/requests.py
@@ -1,6 +1,6 @@
 """Receives, queues and dispatches requests, with at-most-once execution.
 
-An agent instance runs a request id at most once. It keeps the outcome, also
+An agent instance runs a request id at most once. It stores the outcome, even
 of a rejected request, until the caller's watermark has passed the id. A
 duplicate that arrives later gets the stored outcome and doesn't run again.
 """
@@ -45,9 +45,9 @@
 
 __all__ = ["RequestManager"]
 
-WINDOW = 64  # unfinished or unacknowledged requests in a flow
+WINDOW = 64  # most unfinished or unacknowledged requests in a flow
 MAX_KEPT_BYTES = 64 * 1_048_576  # outcomes and request bodies of all flows
-MIN_TIMEOUT_FACTOR = 3.0  # of the usual run time; a shorter timeout is no failure
+MIN_TIMEOUT_FACTOR = 3.0  # of the service time; shorter timeouts aren't failures
 MAX_ANSWER_BYTES = 8 * 1_048_576
 FIRST_PARTS = 16  # answer parts sent before the caller fetches the others
 PROGRESS_EVERY = 8  # received datagrams between two progress messages
@@ -74,7 +74,7 @@
 
     @property
     def in_flight(self) -> int:
-        """The number of running requests, with aborted ones until they end."""
+        """The number of running requests, and of aborted ones that haven't ended."""
         return len(self._running_by_key)
 
     @property
@@ -121,8 +121,8 @@
         if part.request < flow.watermark:
             return [], [already_done(flow, part.request)]
         if part.request >= flow.watermark + WINDOW:
-            # A rejection would need a tombstone, and their number is bounded.
-            # A caller that keeps to the window never gets here.
+            # A rejection would have to be stored, beyond the window's limit.
+            # A caller that respects the window sends no such request.
             return [], []
         request = flow.requests_by_id.get(part.request)
         if request is None:
@@ -136,7 +136,7 @@
                     flow, request, reason, retry_after=retry_after, reopen=reopen
                 )
         if request.stage is Stage.FINISHED:
-            return [], self.outcome(flow, request)
+            return [], self._outcome_messages(flow, request)
         if request.stage is not Stage.RECEIVING:
             return [], [progress(flow, request)]
         return self._add_part(flow, request, part, service=service, now=now, draw=draw)
@@ -152,7 +152,7 @@
         if request is None:
             return [Progress(flow=flow.id, request=request_id, received_below=0)]
         if request.stage is Stage.FINISHED:
-            return self.outcome(flow, request, missing=missing)
+            return self._outcome_messages(flow, request, missing=missing)
         return [progress(flow, request)]
 
     def cancel(
@@ -170,7 +170,7 @@
             flow.requests_by_id[request_id] = request
         match request.stage:
             case Stage.FINISHED:
-                return [], self.outcome(flow, request)
+                return [], self._outcome_messages(flow, request)
             case Stage.RUNNING:
                 self._finish(
                     flow,
@@ -178,7 +178,7 @@
                     final_status(flow, request, FinalStatusKind.CANCELLED, "cancelled"),
                 )
                 key = RequestKey(flow.id, request_id)
-                return [Abort(key=key)], self.outcome(flow, request)
+                return [Abort(key=key)], self._outcome_messages(flow, request)
             case _:
                 self._remove_from_queue(flow, request)
                 return [], self._reject(flow, request, "cancelled", retry_after=0.0)
@@ -262,7 +262,7 @@
                         flow, request, FinalStatusKind.LATE, "deadline passed"
                     ),
                 )
-        return flow, self.outcome(flow, request)
+        return flow, self._outcome_messages(flow, request)
 
     def next_runs(
         self, *, lifecycle: TargetLifecycle, now: float
@@ -295,11 +295,11 @@
             late = final_status(flow, request, FinalStatusKind.LATE, "deadline passed")
             self._finish(flow, request, late)
             abort = Abort(key=RequestKey(flow.id, request_id), late=True)
-            return [abort], self.outcome(flow, request)
+            return [abort], self._outcome_messages(flow, request)
         self._remove_from_queue(flow, request)
         return [], self._reject_expired(flow, request)
 
-    def outcome(
+    def _outcome_messages(
         self, flow: Flow, request: Request, *, missing: tuple[int, ...] = ()
     ) -> list:
         """Return the messages that carry a finished request's outcome."""
@@ -484,7 +484,10 @@
             self._kept_bytes -= len(entry[2])
 
     def _discard(self, flow: Flow, request: Request) -> list[Action]:
-        """Discard a request; a running one keeps its slot until it ends."""
+        """Release a request's memory and queue entry; abort it if it runs.
+
+        An aborted request occupies its slot until its run has ended.
+        """
         self._remove_from_queue(flow, request)
         self._kept_bytes -= sum(map(len, request.body_by_part.values()))
         if isinstance(request.outcome, Answer):
--- a/monsoonpier/agent/tokens/runner.py
+++ b/monsoonpier/agent/tokens/runner.py
@@ -98,7 +98,7 @@
         self._credit_by_key[start.key] = asyncio.Semaphore(STREAM_WINDOW)
         self._streams_by_key[start.key] = asyncio.create_task(self._stream(start))
 
-    def credit(self, credit: Credit) -> None:
+    def add_credit(self, credit: Credit) -> None:
         """Allow a stream's reader to read more items."""
         semaphore = self._credit_by_key.get(credit.key)
         if semaphore is not None:
@@ -132,7 +132,7 @@
         self._active_by_key.pop(run.key, None)
         if isinstance(result, TimedOut | Broke):
             _log.warning(
-                "run without an answer",
+                "run ended without an answer",
                 flow=run.key.flow.hex(),
                 request=run.key.request,
                 kind=run.kind,
@@ -146,7 +146,7 @@
         try:
             async for item in self._client.stream(start):
                 # Without credit no more items are read, so that a slow caller
-                # slows the target down instead of filling the memory here.
+                # slows the target down instead of filling the agent's memory.
                 await credit.acquire()
                 self._on_event(ItemRead(key=start.key, item=item))
             closed = StreamClosed(key=start.key, reason="ended", broke=False)
--- a/monsoonpier/agent/tokens/streams.py
+++ b/monsoonpier/agent/tokens/streams.py
@@ -48,7 +48,11 @@
     def add_item(
         self, flow: Flow, stream_id: int, number: int, body: bytes, *, now: float
     ) -> tuple[list[Action], list]:
-        """Send one item from the target; return actions and replies."""
+        """Send one item from the target; end the stream if the item is too large.
+
+        Returns:
+            Actions and replies.
+        """
         stream = flow.streams_by_id.get(stream_id)
         if stream is None or stream.end is not None or number <= stream.last:
             return [], []
@@ -111,7 +115,7 @@
         return [Credit(key=RequestKey(flow.id, stream_id), items=len(acked))]
 
     def resend(self, flow: Flow, stream: Stream, *, now: float) -> list:
-        """Return the items or the end to resend now, by another balancer."""
+        """Return the items or the end to resend now, through another balancer."""
         if now < stream.resend_at:
             return []
         due = list(stream.unacked_by_number.values())
--- a/monsoonpier/agent/tokens/target_client.py
+++ b/monsoonpier/agent/tokens/target_client.py
@@ -1,9 +1,9 @@
 """HTTP/1.1 client of the agent's target: requests, streams and health.
 
 The target's interface: ``POST /work/<kind>`` with ``X-Request-Id`` and
-``X-Deadline-Ms``; ``GET /streams/<kind>?after=N``, answered by one JSON object
-a line with ``n`` and ``data``; ``GET /health``. Closing the connection cancels
-a request.
+``X-Deadline-Ms``; ``GET /streams/<kind>?after=N``, answered by lines that each
+are a JSON object with ``n`` and ``data``; ``GET /health``. Closing the
+connection cancels a request.
 """
 
 import json
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HealthStatus:
-    """The target's answer to a health check; it may be stale or wrong."""
+    """The target's answer to a health check; the results of runs outweigh it."""
 
     healthy: bool
     draining: bool = False
@@ -74,8 +74,8 @@
         headers = {
             "X-Request-Id": request_id,
             "X-Deadline-Ms": str(int(run.time_left * 1000)),
-            # If the target closed an idle connection as a request is sent on
-            # it, a request that didn't run would count as one that may have.
+            # A target may close an idle connection just when a request is sent
+            # on it; the request would then count as one that may have run.
             "Connection": "close",
         }
         started = time.monotonic()
@@ -139,7 +139,7 @@
 
 
 def _retry_after(response: aiohttp.ClientResponse) -> float:
-    """Return the delay of a 503's Retry-After header in seconds."""
+    """Return the seconds in a 503 response's Retry-After header, within limits."""
     try:
         seconds = float(response.headers.get("Retry-After", DEFAULT_SHED_SECONDS))
     except ValueError:
--- a/monsoonpier/caller/client.py
+++ b/monsoonpier/caller/client.py
@@ -41,8 +41,8 @@
 STREAM_RETRY_SECONDS = 0.2
 MAX_STREAM_RETRY_SECONDS = 5.0
 _log = structlog.get_logger("monsoonpier.caller.client")
-HEADER_BYTES = 24  # hold the version, array header, tag and flow id of a datagram
-MAX_CLOSED_FLOWS = 32  # closed flows whose agents get another `Close`
+HEADER_BYTES = 24  # of a datagram, up to and including the flow id
+MAX_CLOSED_FLOWS = 32  # for which `Close` is resent if their agents still send
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -122,7 +122,7 @@
         Args:
             kind: The kind of work, as named in the service's configuration.
             body: The request's body, up to 72 MB.
-            deadline: Seconds from now until the request times out.
+            deadline: Seconds until the request times out.
             idempotent: Whether to retry a request that may have run. One that
                 did not run is retried in any case, within the retry budget.
         """
@@ -189,7 +189,7 @@
     async def stream(self, kind: str, *, after: int = 0) -> AsyncIterator[StreamItem]:
         """Yield a stream's items, from the one after number ``after``.
 
-        If the stream's target leaves or fails, the stream resumes on another
+        If the stream's target shuts down or fails, the stream resumes on another
         flow after the last item yielded: no item is lost or repeated. It ends
         when the target ends it.
         """
@@ -241,7 +241,7 @@
                     yield event
                     return
                 case None if isinstance(opening.result(), Refused):
-                    # Stay on this flow and try to open another one again.
+                    # Continue on this flow and retry opening another one.
                     await asyncio.sleep(STREAM_RETRY_SECONDS)
                     opening = asyncio.create_task(self._open_session())
                 case None:
@@ -260,7 +260,7 @@
                 refused = await self._open_flow(session)
                 if refused is not None:
                     return refused
-                # The flow's owner may have started to leave meanwhile.
+                # The flow's owner may already have sent GoAway.
                 if session.takes_work:
                     self._session = session
                     self.counts["flows"] += 1
@@ -288,7 +288,7 @@
             self._close_if_unused(session)
 
     def _close_if_unused(self, session: FlowSession) -> None:
-        """Close a flow that is lost, or that is being left and has no work."""
+        """Close a flow that is lost, or that takes no new work and has none left."""
         if not session.is_closed and not (session.is_moving and session.is_idle):
             return
         session.close()
--- a/monsoonpier/caller/retries.py
+++ b/monsoonpier/caller/retries.py
@@ -14,9 +14,9 @@
 
 __all__ = ["Final", "Retry", "RetryBudget", "decide_retry"]
 
-RETRY_SHARE = 0.1  # retries earned by a success; keeps retries from adding overload
+RETRY_SHARE = 0.1  # retries added per success, to bound retries under overload
 BUDGET_CAP = 10.0  # retries
-MAX_FREE_RETRIES = 3  # a leaving target is not overloaded, so they cost no budget
+MAX_FREE_RETRIES = 3  # outside the budget, for rejections by a draining target
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -44,7 +44,7 @@
 class Retry:
     """Retry on another flow after ``wait`` seconds.
 
-    ``uses_budget`` tells whether the retry counts against the budget.
+    ``uses_budget`` is true if the retry counts against the budget.
     """
 
     wait: float
@@ -68,7 +68,7 @@
 
     Args:
         outcome: The outcome of the last attempt.
-        idempotent: Whether the request may be retried after it may have run.
+        idempotent: Whether the request may safely run more than once.
         budget: The retries left.
         free_retries: The retries so far that didn't use the budget.
         time_left: Seconds until the deadline.
--- a/monsoonpier/caller/session.py
+++ b/monsoonpier/caller/session.py
@@ -1,4 +1,4 @@
-"""The caller's side of one flow, without I/O: datagrams and time in, events out."""
+"""The caller's side of one flow; handles datagrams and timers without I/O."""
 
 from dataclasses import dataclass, field
 
@@ -43,7 +43,7 @@
 OPEN_SECONDS = 3.0  # timeout of opening a flow
 PING_SECONDS = 5.0  # between pings on an idle flow
 PING_RESEND_SECONDS = 0.5
-SILENT_PINGS = 6  # unanswered pings after which the flow is lost
+SILENT_PINGS = 6  # unanswered pings after which the flow counts as lost
 STREAM_RESEND_SECONDS = 0.3
 STREAM_PING_SECONDS = 1.0  # detects a lost owner on a stream without items
 MAX_BUFFERED_ITEMS = 256  # received out of order, per stream
@@ -89,12 +89,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GoAwayReceived:
-    """The flow's owner is leaving and asks to move to another flow."""
+    """The flow's owner shuts down and asks the caller to use another flow."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FlowLostEvent:
-    """The flow's owner is gone; its requests and streams have ended."""
+    """The flow is lost; its requests and streams have ended."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -143,7 +143,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether the flow has no requests and streams."""
+        """Whether the flow has neither requests nor streams."""
         return not self._transfers_by_request and not self._streams_by_request
 
     @property
@@ -170,14 +170,14 @@
             now=now,
         )
         self._transfers_by_request[number] = transfer
-        self._send(*transfer.start(acked=self.acked, now=now))
+        self._enqueue(*transfer.start(acked=self.acked, now=now))
         return number
 
     def cancel(self, number: int, *, now: float) -> None:
         """Cancel a request; its outcome still follows as an event."""
         transfer = self._transfers_by_request.get(number)
         if transfer is not None:
-            self._send(*transfer.cancel(acked=self.acked, now=now))
+            self._enqueue(*transfer.cancel(acked=self.acked, now=now))
 
     def open_stream(self, kind: str, *, after: int, now: float) -> int:
         """Open a stream after item number ``after``; return its request number."""
@@ -189,17 +189,17 @@
         return number
 
     def close_stream(self, number: int) -> None:
-        """Stop receiving a stream and tell its owner to end it."""
+        """Stop receiving a stream and ask the flow's owner to end it."""
         if self._streams_by_request.pop(number, None) is not None:
             cancel = Cancel(
                 flow=self.flow, token=self.token, request=number, acked=self.acked
             )
-            self._send(cancel)
+            self._enqueue(cancel)
 
     def close(self) -> None:
         """Close the flow and send `Close` to its owner."""
         if self.is_open:
-            self._send(Close(flow=self.flow, token=self.token))
+            self._enqueue(Close(flow=self.flow, token=self.token))
         self.is_closed = True
 
     # Time
@@ -216,14 +216,14 @@
         return min(times, default=self._ping_due)
 
     def poll(self, *, now: float) -> list:
-        """Send what is due by ``now``; return events."""
+        """Put messages that are due by ``now`` in the outbox; return events."""
         if self.is_closed:
             return []
         if not self.token:
             return self._poll_open(now=now)
         events: list = []
         for number, transfer in list(self._transfers_by_request.items()):
-            self._send(*transfer.poll(acked=self.acked, now=now))
+            self._enqueue(*transfer.poll(acked=self.acked, now=now))
             events += self._finish_if_ended(number)
         for number in list(self._streams_by_request):
             if now >= self._streams_by_request[number].due:
@@ -245,7 +245,7 @@
             message = Open(
                 flow=self.flow, attempt=self._open_attempts, padding=bytes(padding)
             )
-            self._send(message)
+            self._enqueue(message)
             wait = OPEN_RESEND_SECONDS * 2**self._open_attempts
             self._open_due = now + min(wait, MAX_OPEN_RESEND_SECONDS)
             self._open_attempts += 1
@@ -253,16 +253,19 @@
 
     def _ping(self, *, now: float) -> None:
         """Ping the owner of an idle flow; ping faster while it doesn't reply."""
-        self._send(Ping(flow=self.flow, token=self.token, acked=self.acked))
+        self._enqueue(Ping(flow=self.flow, token=self.token, acked=self.acked))
         self._unanswered_pings += 1
         is_first = self._unanswered_pings == 1
         self._ping_due = now + (PING_SECONDS if is_first else PING_RESEND_SECONDS)
 
     def _poll_stream(self, number: int, *, now: float) -> None:
-        """Ping a stream's owner; before the first item, resend the opening."""
+        """Ping the flow's owner; also resend the stream's latest acknowledgement.
+
+        Before the first item, resend StreamOpen instead of the acknowledgement.
+        """
         stream = self._streams_by_request[number]
         if stream.has_begun:
-            self._send(
+            self._enqueue(
                 Ping(flow=self.flow, token=self.token, acked=self.acked),
                 self._stream_ack(number, stream),
             )
@@ -273,7 +276,7 @@
                 else PING_RESEND_SECONDS
             )
             return
-        self._send(
+        self._enqueue(
             StreamOpen(
                 flow=self.flow,
                 token=self.token,
@@ -283,7 +286,7 @@
                 after=stream.last,
             )
         )
-        self._send(Ping(flow=self.flow, token=self.token, acked=self.acked))
+        self._enqueue(Ping(flow=self.flow, token=self.token, acked=self.acked))
         self._unanswered_pings += 1
         stream.due = now + STREAM_RESEND_SECONDS
 
@@ -312,11 +315,11 @@
         return self._handle_message(message, now=now)
 
     def _handle_opened(self, token: bytes, *, now: float) -> list:
-        """Store the flow's token; close the flow at any further agent."""
+        """Store the flow's token; close the flow at another agent that opened it."""
         if self.token:
             if token != self.token:
                 # A resent OPEN reached a second agent, which would keep the flow.
-                self._send(Close(flow=self.flow, token=token))
+                self._enqueue(Close(flow=self.flow, token=token))
             return []
         self.token = token
         self._ping_due = now + PING_SECONDS
@@ -350,11 +353,11 @@
             return []
         match message:
             case Progress():
-                self._send(
+                self._enqueue(
                     *transfer.handle_progress(message, acked=self.acked, now=now)
                 )
             case AnswerPart():
-                self._send(
+                self._enqueue(
                     *transfer.handle_answer_part(message, acked=self.acked, now=now)
                 )
             case FinalStatus():
@@ -362,12 +365,16 @@
         return self._finish_if_ended(message.request)
 
     def _finish_if_ended(self, number: int) -> list:
-        """Remove a request that has an outcome; return its event."""
+        """Remove a request that has an outcome; send the new watermark.
+
+        Returns:
+            The event of its end; empty if it has no outcome yet.
+        """
         outcome = self._transfers_by_request[number].outcome
         if outcome is None:
             return []
         del self._transfers_by_request[number]
-        self._send(Ping(flow=self.flow, token=self.token, acked=self.acked))
+        self._enqueue(Ping(flow=self.flow, token=self.token, acked=self.acked))
         return [RequestEnded(request=number, outcome=outcome)]
 
     def _handle_item(self, message: Item, *, now: float) -> list:
@@ -388,7 +395,7 @@
             item = stream.buffered_by_previous.pop(stream.last)
             stream.last = item.number
             items.append((item.number, item.body))
-        self._send(self._stream_ack(message.request, stream))
+        self._enqueue(self._stream_ack(message.request, stream))
         events: list = []
         if items:
             events.append(ItemsReady(request=message.request, items=tuple(items)))
@@ -438,6 +445,6 @@
         self._next_request += 1
         return number
 
-    def _send(self, *messages) -> None:
+    def _enqueue(self, *messages) -> None:
         """Encode messages and put them in the outbox."""
         self.outbox += [caller_codec.encode(message) for message in messages]
--- a/monsoonpier/caller/transfer.py
+++ b/monsoonpier/caller/transfer.py
@@ -31,10 +31,10 @@
 RESEND_PARTS = 8  # parts resent at a time
 FIRST_RESEND_SECONDS = 0.1
 MAX_RESEND_SECONDS = 1.0
-FETCH_AGAIN_SECONDS = 0.05  # resend delay while an answer arrives
+FETCH_RESEND_SECONDS = 0.05  # resend delay while an answer arrives
 REORDER_SECONDS = 0.03  # how late a part may arrive after its successors
 GRACE_SECONDS = 0.25  # wait for the agent's final status after the deadline
-SILENT_RESENDS = 6  # consecutive unanswered resends before the flow is lost
+SILENT_RESENDS = 6  # unanswered in a row; one more ends the request as lost
 
 
 class Transfer:
@@ -63,7 +63,7 @@
         self._digest = blake2b(body, digest_size=DIGEST_BYTES).digest()
         self._parts = max(1, -(-len(body) // PART_BYTES))
         self._deadline = deadline
-        self._have_below = 0
+        self._received_below = 0
         self._sent_below = 0
         self._sent_at_by_part: dict[int, float] = {}
         self._is_delivered = False
@@ -96,7 +96,10 @@
         return [self._make_cancel(acked)]
 
     def poll(self, *, acked: int, now: float) -> list:
-        """Return the messages to resend at ``now``; may set the outcome."""
+        """Return the messages to resend at ``now``.
+
+        Set the outcome if the deadline has passed or the agent doesn't respond.
+        """
         if self.outcome is not None or now < self.due:
             return []
         if now >= self._deadline + GRACE_SECONDS:
@@ -115,10 +118,10 @@
             return self._fetch_missing(acked, now=now)
         if self._is_delivered:
             return [Fetch(**self._common_fields(acked))]
-        last = min(self._have_below + RESEND_PARTS, max(1, self._sent_below))
+        last = min(self._received_below + RESEND_PARTS, max(1, self._sent_below))
         return [
             self._make_part(number, acked, now=now)
-            for number in range(self._have_below, last)
+            for number in range(self._received_below, last)
         ]
 
     def handle_progress(self, message: Progress, *, acked: int, now: float) -> list:
@@ -126,11 +129,11 @@
         self._reset_resend(now)
         if message.whole:
             self._is_delivered = True
-            self._have_below = self._parts
+            self._received_below = self._parts
             return []
-        if message.received_below < self._have_below or self._is_delivered:
+        if message.received_below < self._received_below or self._is_delivered:
             return []
-        self._have_below = message.received_below
+        self._received_below = message.received_below
         overdue = [
             number
             for number in message.missing[:RESEND_PARTS]
@@ -140,14 +143,14 @@
         return resend + self._next_parts(acked, now=now)
 
     def _is_overdue(self, number: int, *, now: float) -> bool:
-        """Return whether a part is lost rather than reordered on its way."""
+        """Return whether a part was sent long enough ago to count as lost."""
         sent_at = self._sent_at_by_part.get(number, now)
         return now - sent_at > REORDER_SECONDS
 
     def handle_answer_part(
         self, message: AnswerPart, *, acked: int, now: float
     ) -> list:
-        """Handle one part of the answer; may set the outcome."""
+        """Store one part of the answer; set the outcome after the last one."""
         self._reset_resend(now)
         if not self._answer_parts:
             self._answer_parts = message.parts
@@ -205,7 +208,7 @@
 
     def _next_parts(self, acked: int, *, now: float) -> list:
         """Return the unsent parts within the send window."""
-        end = min(self._parts, self._have_below + SEND_WINDOW)
+        end = min(self._parts, self._received_below + SEND_WINDOW)
         parts = [
             self._make_part(number, acked, now=now)
             for number in range(self._sent_below, end)
@@ -257,7 +260,7 @@
         self._unanswered = 0
         self._resend_after = FIRST_RESEND_SECONDS
         if self._answer_parts:
-            self._resend_after = FETCH_AGAIN_SECONDS
+            self._resend_after = FETCH_RESEND_SECONDS
         self._set_due(now)
 
     def _set_due(self, now: float) -> None:
--- a/monsoonpier/cli/__init__.py
+++ b/monsoonpier/cli/__init__.py
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Run the command line and exit; print errors as one line on stderr."""
+    """Run the command line and exit; print errors on stderr without a traceback."""
     try:
         status = app(result_action="return_value")
     except CommandError as command_error:
--- a/monsoonpier/cli/common.py
+++ b/monsoonpier/cli/common.py
@@ -29,7 +29,7 @@
 
 
 def load_or_fail(file: Path, role: str):
-    """Load a process's settings.
+    """Load the settings of a process with this role from a file.
 
     Raises:
         CommandError: If the file has errors; the message lists them all.
--- a/monsoonpier/cli/operator.py
+++ b/monsoonpier/cli/operator.py
@@ -65,8 +65,8 @@
 
     Args:
         who: Your name for the audit trail; defaults to the login name.
-        wait: Wait until it is in force on every balancer, and name those that
-            lag.
+        wait: Wait until the configuration is in force on every balancer; list the
+            balancers where it isn't.
         wait_seconds: The longest time to wait, in seconds.
         log_level: The lowest level that is logged.
     """
@@ -128,12 +128,12 @@
 def history(
     *, settings: SettingsFile, count: int = 20, log_level: LogLevel = "warning"
 ) -> int:
-    """Show the audit trail of changes, the newest first.
+    """Show the audit trails of evacuations and changes, each newest first.
 
     Example: monsoonpier history --settings operator.yaml --count 5
 
     Args:
-        count: How many changes to show.
+        count: The most evacuations and the most changes to show.
         log_level: The lowest level that is logged.
     """
     from monsoonpier.operator import commands
@@ -160,8 +160,8 @@
     Args:
         version: The version whose files are applied again.
         who: Your name for the audit trail; defaults to the login name.
-        wait: Wait until it is in force on every balancer, and name those that
-            lag.
+        wait: Wait until the configuration is in force on every balancer; list the
+            balancers where it isn't.
         wait_seconds: The longest time to wait, in seconds.
         log_level: The lowest level that is logged.
     """
@@ -204,7 +204,7 @@
     wait_seconds: float = 13.0,
     log_level: LogLevel = "warning",
 ) -> int:
-    """Send no new work to a data centre; open flows are kept.
+    """Send no new work to a data centre; open flows stay open.
 
     Example: monsoonpier evacuate hall-2 --settings operator.yaml --wait
 
@@ -214,8 +214,8 @@
         who: Your name for the audit trail; defaults to the login name.
         force: Evacuate even if no other data centre serves one of its
             services.
-        wait: Wait until it is in force on every balancer, and name those that
-            lag.
+        wait: Wait until the order is in force on every balancer; list the
+            balancers where it isn't.
         wait_seconds: The longest time to wait, in seconds.
         log_level: The lowest level that is logged.
     """
@@ -251,8 +251,8 @@
     Args:
         data_centre: The data centre's name.
         who: Your name for the audit trail; defaults to the login name.
-        wait: Wait until it is in force on every balancer, and name those that
-            lag.
+        wait: Wait until the order is in force on every balancer; list the
+            balancers where it isn't.
         wait_seconds: The longest time to wait, in seconds.
         log_level: The lowest level that is logged.
     """
--- a/monsoonpier/cli/processes.py
+++ b/monsoonpier/cli/processes.py
@@ -123,7 +123,8 @@
     return ExitStatus.OK
 
 
-def _run_process(process, settings, log_level: str) -> int:
+def _run_process(process_class, settings, log_level: str) -> int:
+    """Configure logs on stdout and run a process until it has shut down."""
     from monsoonpier.process.logs import STDOUT, configure_logs
 
     configure_logs(
@@ -135,7 +136,7 @@
     )
 
     async def run() -> int:
-        await process(settings=settings).run()
+        await process_class(settings=settings).run()
         return ExitStatus.OK
 
     return run_coroutine(run())
--- a/monsoonpier/operator/caller_waits.py
+++ b/monsoonpier/operator/caller_waits.py
@@ -4,7 +4,7 @@
 centre, so these balancers' counts describe that data centre's callers. Every
 target serves callers of all data centres, so the waits and rejections should
 be alike everywhere. Longer waits or more rejections in one data centre suggest
-that its balancers know of fewer free slots than the others.
+that its balancers have records of fewer free slots than the others.
 """
 
 import math
@@ -17,10 +17,10 @@
 
 __all__ = ["ClassWaits", "caller_lines", "summarise_callers"]
 
-# Differences between a data centre and the others above which it is marked.
+# A data centre is marked if it differs from the others by more than these.
 UNFAIR_WAIT_SHARE = 0.25  # of mean waits, as a share of the latency target
 UNFAIR_REFUSED_SHARE = 0.05  # of rejected shares
-CHANCE_ERRORS = 2.0  # in standard errors; smaller differences may be chance
+CHANCE_STANDARD_ERRORS = 2.0  # smaller differences may be chance
 MIN_FLOWS = 50  # recent flows needed on each side of a comparison
 
 WAITS_LONGER = "waits longer than elsewhere"
@@ -45,8 +45,9 @@
         refused_share: Share of rejected flows among recently served and
             rejected ones.
         lately: Number of flows recently served, recently rejected or waiting.
-        asked, served_late: Flows since the balancers' start: all, and those
-            served beyond the latency target.
+        asked: Flows since the balancers' start.
+        served_late: Flows since then that were served beyond the latency
+            target.
         refused_by_reason: Rejected flows since the balancers' start.
         served_by_data_centre: Served flows since the balancers' start, by the
             data centre of their target.
@@ -112,7 +113,7 @@
 
 
 def caller_lines(waits: Iterable[ClassWaits]) -> list[str]:
-    """Return a line of text for each class that any caller has used."""
+    """Return a line of text for each class that has had any flow."""
     return [_format_line(each) for each in waits if each.asked]
 
 
@@ -146,7 +147,9 @@
         served_by_data_centre=_sum_counts(
             summary.served_by_data_centre for summary in own
         ),
-        marks=_find_marks(recent, _sum_recent(others), aim_seconds=own[0].aim_seconds),
+        marks=_find_worse_measures(
+            recent, _sum_recent(others), aim_seconds=own[0].aim_seconds
+        ),
     )
 
 
@@ -164,29 +167,29 @@
     )
 
 
-def _find_marks(
+def _find_worse_measures(
     own: _RecentCounts, others: _RecentCounts, *, aim_seconds: float
 ) -> tuple[str, ...]:
-    """Return the measures that are clearly worse in ``own``."""
-    marks = []
+    """Return the measures in which ``own`` is clearly worse than ``others``."""
+    worse = []
     extra_wait = own.mean_wait_seconds - others.mean_wait_seconds
     has_enough_waits = min(own.waited, others.waited) >= MIN_FLOWS
     if has_enough_waits and extra_wait > UNFAIR_WAIT_SHARE * aim_seconds:
-        marks.append(WAITS_LONGER)
+        worse.append(WAITS_LONGER)
     extra_share = own.refused_share - others.refused_share
     has_enough_decided = min(own.decided, others.decided) >= MIN_FLOWS
     if has_enough_decided and extra_share > max(
         UNFAIR_REFUSED_SHARE, _chance_margin(own, others)
     ):
-        marks.append(REFUSED_MORE)
-    return tuple(marks)
+        worse.append(REFUSED_MORE)
+    return tuple(worse)
 
 
 def _chance_margin(own: _RecentCounts, others: _RecentCounts) -> float:
     """Return the difference of two rejected shares that chance may explain."""
     share = (own.refused + others.refused) / (own.decided + others.decided)
     variance = share * (1 - share) * (1 / own.decided + 1 / others.decided)
-    return CHANCE_ERRORS * math.sqrt(variance)
+    return CHANCE_STANDARD_ERRORS * math.sqrt(variance)
 
 
 def _sum_counts(counts: Iterable[dict[str, int]]) -> dict[str, int]:
--- a/monsoonpier/operator/change.py
+++ b/monsoonpier/operator/change.py
@@ -158,7 +158,7 @@
     outcome = await write_if_unchanged(
         platform,
         compares=compares,
-        puts=_puts(entry, services),
+        puts=_make_puts(entry, services),
         identity=identity,
         draw=draw,
         resolve_seconds=resolve_seconds,
@@ -207,7 +207,7 @@
     return [_decode_entry(values[key].value) for key in sorted(values)]
 
 
-def _puts(entry: AuditEntry, services: dict[str, Service]) -> tuple[Put, ...]:
+def _make_puts(entry: AuditEntry, services: dict[str, Service]) -> tuple[Put, ...]:
     stored = StoredConfiguration(
         version=entry.version,
         apply_id=entry.apply_id,
--- a/monsoonpier/operator/commands.py
+++ b/monsoonpier/operator/commands.py
@@ -114,7 +114,10 @@
 
 
 async def show_history(session: OperatorSession, *, count: int) -> int:
-    """Print the newest evacuations and changes, the newest first."""
+    """Print the newest evacuation orders, then the newest changes.
+
+    Print at most ``count`` of each, the newest first.
+    """
     try:
         entries = await read_audit(session.platform)
         evacuations = await read_evacuation_audit(session.platform)
@@ -202,7 +205,10 @@
 
 
 def _read_and_parse(paths: Iterable[Path]) -> tuple[dict[str, str], ParsedFiles | None]:
-    """Read and parse files; print errors, returning no services then."""
+    """Return the files' texts and their parsed content.
+
+    If there are errors, print them and return ``None`` as the content.
+    """
     texts_by_name, findings = read_files(paths)
     parsed = parse_files(texts_by_name) if texts_by_name else ParsedFiles()
     findings = (*findings, *parsed.findings)
@@ -220,7 +226,10 @@
     note: str,
     wait_seconds: float,
 ) -> int:
-    """Store a configuration, print the outcome and wait if asked to."""
+    """Store a configuration and print the outcome.
+
+    If ``wait_seconds`` isn't 0, wait until the configuration is in force.
+    """
     wanted = ConfigurationChange(
         apply_id=uuid.uuid4().hex,
         who=who or getpass.getuser(),
@@ -253,15 +262,15 @@
         case Conflict(by=by):
             print(
                 f"conflict: {by.stored.who} applied version {by.version} at "
-                f"{by.stored.at}; nothing "
-                "of yours was applied. Run `diff`, then apply again.",
+                f"{by.stored.at}; your change "
+                "was not applied. Run `diff`, then apply again.",
                 file=sys.stderr,
             )
             return ExitStatus.CONFLICT
         case Unknown(reason=reason, apply_id=apply_id):
             print(
-                f"unknown: the platform can't tell whether it was accepted ({reason}). "
-                f"Look for id {apply_id} in `history` when it is back.",
+                f"unknown: the platform did not confirm the change ({reason}). "
+                f"Look for id {apply_id} in `history` once the platform responds.",
                 file=sys.stderr,
             )
             return ExitStatus.UNKNOWN
--- a/monsoonpier/operator/conditional_write.py
+++ b/monsoonpier/operator/conditional_write.py
@@ -1,4 +1,4 @@
-"""Conditional writes whose outcome is found out even if the response is lost.
+"""Conditional writes whose outcome can be read back if the response is lost.
 
 Each write stores an audit entry under a key of its own, in the same
 transaction. If the response is lost, the entry shows whether the write took
@@ -90,7 +90,7 @@
             return PreconditionFailed()
         except StoreError as error:
             # A retry is safe: if the failed attempt took effect, the
-            # conditions no longer hold, and the audit entry is this write's.
+            # conditions no longer hold, and its audit entry is found.
             if now() >= deadline:
                 return Unresolved(reason=str(error))
             await asyncio.sleep(backoff.wait_seconds(draw=draw))
--- a/monsoonpier/operator/evacuation_commands.py
+++ b/monsoonpier/operator/evacuation_commands.py
@@ -53,7 +53,7 @@
         data_centre: Name of the data centre.
         who: Name of the operator for the audit trail; if empty, the login
             name.
-        force: Whether to evacuate despite such obstacles.
+        force: Whether to evacuate even if a service would have no targets left.
         wait_seconds: The longest time to wait until the order is in force on
             every balancer; 0 to return at once.
 
@@ -147,7 +147,10 @@
     is_active: bool,
     seconds: float,
 ) -> int:
-    """Print the outcome of an order; wait until it is in force if asked to."""
+    """Print the outcome of an order.
+
+    If ``seconds`` isn't 0, wait until the order is in force.
+    """
     what = "evacuated" if is_active else "readmitted"
     match outcome:
         case Written():
@@ -168,8 +171,8 @@
             return ExitStatus.CONFLICT
         case Unresolved(reason=reason):
             print(
-                f"unknown: the platform can't tell whether it was accepted ({reason}). "
-                f"Look for {order.data_centre} in `status` when it is back.",
+                f"unknown: the platform did not confirm the order ({reason}). Look "
+                f"for {order.data_centre} in `status` once the platform responds.",
                 file=sys.stderr,
             )
             return ExitStatus.UNKNOWN
--- a/monsoonpier/operator/evacuation_orders.py
+++ b/monsoonpier/operator/evacuation_orders.py
@@ -73,14 +73,14 @@
 async def store_order(
     platform: Store, order: EvacuationOrder, *, draw: random.Random
 ) -> Written | PreconditionFailed | Unresolved:
-    """Store an order to evacuate a data centre unless it has one already."""
-    entry = _entry(order, note="evacuate")
+    """Store an order to evacuate a data centre unless one is in force already."""
+    entry = _make_entry(order, note="evacuate")
     key = EVACUATIONS + order.data_centre
     return await write_if_unchanged(
         platform,
         compares=(Compare(key=key),),
-        puts=(Put(key=key, value=_encode(entry)), _audit_put(entry)),
-        identity=_identity(entry),
+        puts=(Put(key=key, value=_encode(entry)), _make_audit_put(entry)),
+        identity=_make_write_identity(entry),
         draw=draw,
     )
 
@@ -92,18 +92,18 @@
 
     Args:
         platform: The store.
-        order: The order to readmit the data centre, for the audit trail.
-        stored: The evacuation order as it was read.
+        order: The readmission, which is added to the audit trail.
+        stored: The evacuation order to delete, as it was read.
         draw: Source of random numbers for the delays between attempts.
     """
-    entry = _entry(order, note="readmit")
+    entry = _make_entry(order, note="readmit")
     key = EVACUATIONS + order.data_centre
     return await write_if_unchanged(
         platform,
         compares=(Compare(key=key, mod_revision=stored.revision),),
-        puts=(_audit_put(entry),),
+        puts=(_make_audit_put(entry),),
         removes=(key,),
-        identity=_identity(entry),
+        identity=_make_write_identity(entry),
         draw=draw,
     )
 
@@ -158,7 +158,7 @@
     ]
 
 
-def _entry(order: EvacuationOrder, *, note: str) -> EvacuationEntry:
+def _make_entry(order: EvacuationOrder, *, note: str) -> EvacuationEntry:
     return EvacuationEntry(
         data_centre=order.data_centre,
         order_id=order.order_id,
@@ -172,17 +172,21 @@
     return f"{EVACUATION_AUDIT}{entry.at}-{entry.order_id}"
 
 
-def _audit_put(entry: EvacuationEntry) -> Put:
+def _make_audit_put(entry: EvacuationEntry) -> Put:
     return Put(key=_audit_key(entry), value=_encode(entry))
 
 
-def _identity(entry: EvacuationEntry) -> WriteIdentity:
-    # The key contains the order's identifier, so only this order writes to it.
+def _make_write_identity(entry: EvacuationEntry) -> WriteIdentity:
+    # The audit entry's key contains the order's identifier, so any value under
+    # it was written by this order.
     return WriteIdentity(key=_audit_key(entry), is_own=lambda value: True)
 
 
 def _decode_order(key: str, value: KeyValue) -> StoredOrder:
-    """Decode a stored order; a malformed value is an order by ``unknown``."""
+    """Decode a stored order, with placeholders if its value is malformed.
+
+    A malformed order is in force, too, so that it must be shown and removable.
+    """
     try:
         entry = _decode(value.value)
     except (msgspec.MsgspecError, UnicodeDecodeError):
--- a/monsoonpier/operator/explain.py
+++ b/monsoonpier/operator/explain.py
@@ -58,8 +58,8 @@
 def explain(lines: Iterable[LogLine], *, flow: str) -> list[LogLine]:
     """Return the log lines about a flow and their context, by time.
 
-    The context consists of lines about no flow that were logged near these
-    lines and that are by or about a process involved in the flow.
+    Context lines name no flow; they were logged by, or name, a process that the
+    flow's lines involve, at most `CONTEXT_SECONDS` before or after these.
 
     Args:
         lines: All lines, in any order.
--- a/monsoonpier/operator/reports.py
+++ b/monsoonpier/operator/reports.py
@@ -1,4 +1,4 @@
-"""Parts of the output that several commands share."""
+"""Helpers that several commands share."""
 
 import sys
 from collections.abc import Iterable
--- a/monsoonpier/operator/slot_use.py
+++ b/monsoonpier/operator/slot_use.py
@@ -23,7 +23,8 @@
 
     Attributes:
         service, data_centre: The service and the targets' data centre.
-        agents: Number of agents that responded to both requests.
+        agents: Number of agents that responded to both requests and did not
+            restart between them.
         slots: Number of slots.
         queued: New flows that wait at the agents, in time or late.
         busy_share: Time in which slots ran a request.
